--- a/crates/autoscaling/tests/autoscaler.rs
+++ b/crates/autoscaling/tests/autoscaler.rs
@@ -3,6 +3,7 @@
 
 use brasspond_autoscaling::{Autoscaler, ScaleAnswer, ScaleOrder};
 use brasspond_fleet::{Configuration, FleetView, ReplicaInfo, Scaling, Service};
+use brasspond_golden::{Digest, check_lines};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -397,3 +398,32 @@
     let fewer = fewer.filter(|(_, order)| order.count < 10).count();
     assert_eq!(fewer, 0, "{:?}", &platform.orders[orders..]);
 }
+
+/// A change that is to leave all decisions as they are leaves these digests as they are.
+#[rstest]
+fn decisions_are_as_kept() {
+    const PLAYS: u64 = 20;
+    let digests = (0..PLAYS).map(|number| {
+        let mut scaler = Autoscaler::default();
+        let mut platform = Platform::new(4 + number as u32, Some(0.2));
+        let period = 1_000 * (3 + number % 7);
+        let crest = 40 * (1 + number as usize);
+        let is_high = |now: u64| now % period < period / 2;
+        let waves = |now: u64| if is_high(now) { crest } else { crest / 10 };
+        play(&mut scaler, &mut platform, 0..40_000, waves);
+        platform.evacuated = [Arc::from("b")].into();
+        play(&mut scaler, &mut platform, 40_000..60_000, waves);
+        platform.evacuated.clear();
+        platform.spot.insert("c".to_string(), 0);
+        platform.dry_until.insert("c".to_string(), 70_000);
+        play(&mut scaler, &mut platform, 60_000..120_000, waves);
+        let mut digest = Digest::default();
+        for order in &platform.orders {
+            digest.add(0, order);
+        }
+        format!("{number} {}", digest.line())
+    });
+    let digests: Vec<String> = digests.collect();
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/decisions.txt");
+    check_lines(file.as_ref(), &digests);
+}
--- a/crates/cluster/tests/group.rs
+++ b/crates/cluster/tests/group.rs
@@ -3,7 +3,10 @@
 
 mod support;
 
+use brasspond_golden::check_lines;
 use proptest::prelude::*;
+use proptest::strategy::ValueTree;
+use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
 use support::{Fault, Mutation, World};
 
@@ -14,6 +17,11 @@
 }
 
 fn play_mutated(seed: u64, faults: &[Fault], mutation: Option<Mutation>) {
+    played(seed, faults, mutation);
+}
+
+/// The world at the end of a play.
+fn played(seed: u64, faults: &[Fault], mutation: Option<Mutation>) -> World {
     let mut world = World::new(seed, 3);
     if let Some(mutation) = mutation {
         world.mutate(mutation);
@@ -36,6 +44,7 @@
         "a healed group takes work again"
     );
     world.check_acknowledged();
+    world
 }
 
 /// Cases played: `GROUP_CASES`, or few enough for every run of the tests.
@@ -110,6 +119,24 @@
     }
 }
 
+/// Plays whose decisions are kept.
+const DIGESTED_PLAYS: u64 = 40;
+
+/// A change that is to leave all decisions as they are leaves these digests as they are.
+#[rstest]
+fn decisions_are_as_kept() {
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
+    let mut runner = TestRunner::new_with_rng(config(), rng);
+    let faults = proptest::collection::vec(any_fault(), 1..7);
+    let digests = (0..DIGESTED_PLAYS).map(|seed| {
+        let faults = faults.new_tree(&mut runner).expect("drawn").current();
+        format!("{seed} {}", played(seed, &faults, None).digest())
+    });
+    let digests: Vec<String> = digests.collect();
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/decisions.txt");
+    check_lines(file.as_ref(), &digests);
+}
+
 /// Seeds that once failed, with the cause.
 #[rstest]
 // A group of two that lost a disk had no quorum ever again.
--- a/crates/cluster/tests/support/mod.rs
+++ b/crates/cluster/tests/support/mod.rs
@@ -6,6 +6,7 @@
     Consensus, Entry, HardState, Member, MemberId, Message, Payload, Persisted, READ_LEASE, Timing,
 };
 use brasspond_fleet::Regions;
+use brasspond_golden::Digest;
 use bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -101,6 +102,8 @@
     mutation: Option<Mutation>,
     /// Where members should stand.
     wanted: Wanted,
+    /// All that members decided to keep and to send.
+    digest: Digest,
 }
 
 const TARGET: usize = 3;
@@ -137,6 +140,7 @@
             proposals: 0,
             mutation: None,
             wanted,
+            digest: Digest::default(),
         };
         for _ in 0..machines {
             world.add_machine();
@@ -147,6 +151,11 @@
         world
     }
 
+    /// Number and digest of all that members decided to keep and to send.
+    pub fn digest(&self) -> String {
+        self.digest.line()
+    }
+
     /// The same with a fault built in.
     pub fn mutate(&mut self, mutation: Mutation) {
         self.mutation = Some(mutation);
@@ -358,6 +367,12 @@
         let process = machine.process.as_mut().expect("running");
         process.replicate(now);
         let ready = process.take_ready();
+        if ready.must_sync() || !ready.messages.is_empty() {
+            let kept = (&ready.hard_state, &ready.snapshot, &ready.entries);
+            let decided = (kept, ready.truncate_from, &ready.messages);
+            let bytes = rmp_serde::to_vec(&decided).expect("encoded");
+            self.digest.add_bytes(0, &bytes);
+        }
         let mut did = ready.must_sync() || !ready.messages.is_empty();
         if let Some(state) = ready.hard_state {
             machine.disk.hard_state = state;
--- a/crates/dispatch/tests/fuzzing.rs
+++ b/crates/dispatch/tests/fuzzing.rs
@@ -5,8 +5,11 @@
 mod model;
 mod support;
 
+use brasspond_golden::check_lines;
 use model::{Fault, LONGEST_LAG, Mutation, World};
 use proptest::prelude::*;
+use proptest::strategy::ValueTree;
+use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
 
 /// A replica starts again, and its machine's clock was set back.
@@ -26,6 +29,11 @@
 }
 
 fn play_mutated(seed: u64, single: bool, strikes: &[Strike], mutation: Option<Mutation>) {
+    played(seed, single, strikes, mutation);
+}
+
+/// The world at the end of a play.
+fn played(seed: u64, single: bool, strikes: &[Strike], mutation: Option<Mutation>) -> World {
     let mut world = World::new(seed, single, mutation);
     world.run(500);
     world.submit(24);
@@ -35,6 +43,7 @@
         world.run(*pause);
     }
     world.finish();
+    world
 }
 
 /// Cases played: `DISPATCH_CASES`, or few enough for every run of the tests.
@@ -120,6 +129,25 @@
     }
 }
 
+/// Plays whose decisions are kept.
+const DIGESTED_PLAYS: u64 = 60;
+
+/// A change that is to leave all decisions as they are leaves these digests as they are.
+#[rstest]
+fn decisions_are_as_kept() {
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
+    let mut runner = TestRunner::new_with_rng(config(), rng);
+    let strikes = proptest::collection::vec((any_fault(), 10_u64..1_500), 1..14);
+    let digests = (0..DIGESTED_PLAYS).map(|seed| {
+        let strikes = strikes.new_tree(&mut runner).expect("drawn").current();
+        let world = played(seed, seed % 3 == 0, &strikes, None);
+        format!("{seed} {}", world.digest())
+    });
+    let digests: Vec<String> = digests.collect();
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/decisions.txt");
+    check_lines(file.as_ref(), &digests);
+}
+
 /// Seeds that once failed, with the cause.
 #[rstest]
 // Events of an old link were taken twice.
--- a/crates/dispatch/tests/model/carry.rs
+++ b/crates/dispatch/tests/model/carry.rs
@@ -25,6 +25,7 @@
     }
 
     fn carry_out(&mut self, action: Action) {
+        self.digest.add(tag(&action), &action);
         match action {
             Action::Run { machine, spec } => {
                 let ended = self.ended_at.contains_key(&spec.job);
@@ -216,3 +217,21 @@
         }
     }
 }
+
+/// Tells actions apart that hold the same values.
+fn tag(action: &Action) -> u8 {
+    match action {
+        Action::Run { .. } => 0,
+        Action::Cancel { .. } => 1,
+        Action::Recorded { .. } => 2,
+        Action::List(_) => 3,
+        Action::Keep(_) => 4,
+        Action::Finish(_) => 5,
+        Action::Extend(_) => 6,
+        Action::ListScored(_) => 7,
+        Action::Score { .. } => 8,
+        Action::Reborn { .. } => 9,
+        Action::AskReport { .. } => 10,
+        Action::Order { .. } => 11,
+    }
+}
--- a/crates/dispatch/tests/model/mod.rs
+++ b/crates/dispatch/tests/model/mod.rs
@@ -13,6 +13,7 @@
 use crate::support;
 use brasspond_dispatch::{Dispatcher, Event, OrderLeases, Settings};
 use brasspond_fleet::{FleetView, Regions, WarmUp};
+use brasspond_golden::Digest;
 use brasspond_jobs::{Command, JobTable, ScoringCall, Submission};
 use edge::Edge;
 use oracle::{ItemPlan, Oracle};
@@ -107,6 +108,8 @@
     told_evacuated: BTreeSet<Arc<str>>,
     /// Whether the present leader was told which zones are.
     leader_knows: bool,
+    /// All that leaders decided.
+    digest: Digest,
 }
 
 /// The zone of a replica: each has its own.
@@ -146,6 +149,7 @@
             evacuated: BTreeSet::new(),
             told_evacuated: BTreeSet::new(),
             leader_knows: false,
+            digest: Digest::default(),
         };
         let configuration = Arc::make_mut(world.view.configuration.as_mut().expect("one"));
         configuration.routes[0].single_version = single_version;
@@ -167,6 +171,11 @@
         world
     }
 
+    /// Number and digest of all that leaders decided.
+    pub fn digest(&self) -> String {
+        self.digest.line()
+    }
+
     pub fn run(&mut self, ms: u64) {
         let until = self.now + ms;
         while self.now < until {
--- a/crates/metering/tests/fuzzing.rs
+++ b/crates/metering/tests/fuzzing.rs
@@ -5,6 +5,7 @@
 //! edge lived, a report says what ran in its window. Each check is shown to catch a
 //! fault that is built in.
 
+use brasspond_golden::{Digest, check_lines};
 use brasspond_metering::{
     Counts, EdgeLife, MeterAction, MeterSettings, Metering, SendAnswer, UsageCommand, UsageLedger,
     UsageRecorder, WindowNumber, Windows,
@@ -58,6 +59,8 @@
     lost_edges: bool,
     kills: bool,
     problem: Option<String>,
+    /// All that leaders decided.
+    digest: Digest,
 }
 
 fn tenant(number: usize) -> Arc<str> {
@@ -97,6 +100,7 @@
             lost_edges: false,
             kills,
             problem: None,
+            digest: Digest::default(),
         }
     }
 
@@ -192,6 +196,7 @@
         };
         let time = self.rng.random_bool(0.9).then_some(self.now);
         for action in leader.tick(time, &self.ledger, self.now) {
+            self.digest.add(tag(&action), &action);
             match action {
                 MeterAction::Propose(command) => {
                     if self.fault == Fault::SendsBeforeTheLog
@@ -266,12 +271,40 @@
     }
 }
 
-fn play(seed: u64, kills: bool, fault: Fault) -> Result<usize, String> {
+/// Tells actions apart that hold the same values.
+fn tag(action: &MeterAction) -> u8 {
+    match action {
+        MeterAction::Propose(UsageCommand::Close(_)) => 0,
+        MeterAction::Propose(_) => 1,
+        MeterAction::Send(..) => 2,
+    }
+}
+
+/// The world at the end of a play.
+fn played(seed: u64, kills: bool, fault: Fault) -> World {
     const STEPS: usize = 600;
     let mut world = World::new(seed, kills, fault);
     for _ in 0..STEPS {
         world.step();
     }
+    world
+}
+
+/// A change that is to leave all decisions as they are leaves these digests as they are.
+#[rstest]
+fn decisions_are_as_kept() {
+    const PLAYS: u64 = 60;
+    let digests = (0..PLAYS).map(|seed| {
+        let world = played(seed, seed % 2 == 0, Fault::None);
+        format!("{seed} {}", world.digest.line())
+    });
+    let digests: Vec<String> = digests.collect();
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/decisions.txt");
+    check_lines(file.as_ref(), &digests);
+}
+
+fn play(seed: u64, kills: bool, fault: Fault) -> Result<usize, String> {
+    let world = played(seed, kills, fault);
     world.check().map(|()| world.taken.len())
 }
 
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -17,7 +17,7 @@
 use crate::platform::Platform;
 use crate::queue::Queue;
 use crate::trainers::SimTrainer;
-use brasspond_control::{AttemptId, Control, Event, Reply, RequestId, StoreCall};
+use brasspond_control::{Action, AttemptId, Control, Event, Reply, RequestId, StoreCall};
 use brasspond_engine_api::{AttemptUpdate, EngineCall};
 use brasspond_protocol::{Envelope, KEY_BYTES, Sealer};
 use brasspond_resource::{Catalogue, Metadata, Object, Spec, WeightVersionSpec};
@@ -94,6 +94,9 @@
     }
 }
 
+/// Is shown each action of each node, by the node's index.
+type Observer = Box<dyn FnMut(usize, &Action)>;
+
 /// A simulated fleet with its clients and platform.
 pub struct World {
     pub(crate) config: WorldConfig,
@@ -117,6 +120,7 @@
     pub(crate) sealer: Option<Sealer>,
     pub(crate) newest_published: BTreeMap<ModelName, (u64, Timestamp)>,
     swap_failure: f64,
+    observer: Option<Observer>,
 }
 
 /// The resource that publishes a version of a model.
@@ -168,6 +172,7 @@
                 .then(|| Sealer::new(vec![[7; KEY_BYTES]])),
             newest_published: BTreeMap::new(),
             swap_failure: config.engine.swap_failure,
+            observer: None,
             config,
         };
         world.write_resources();
@@ -239,6 +244,11 @@
         self.nodes.iter().position(|node| node.address == address)
     }
 
+    /// Shows each action of each node, with the node's index, before it is carried out.
+    pub fn observe(&mut self, observer: impl FnMut(usize, &Action) + 'static) {
+        self.observer = Some(Box::new(observer));
+    }
+
     /// Lets everything happen that is due by `until`.
     pub fn run_until(&mut self, until: Timestamp) {
         while let Some((at, happening)) = self.queue.pop_until(until) {
@@ -339,6 +349,9 @@
             self.oracle.check_revision(self.now, index, revision);
         }
         for action in actions {
+            if let Some(observer) = &mut self.observer {
+                observer(index, &action);
+            }
             self.carry_out(index, instance, action);
         }
     }
--- a/crates/warmup/tests/granting.rs
+++ b/crates/warmup/tests/granting.rs
@@ -2,8 +2,11 @@
 //! replica that warms up, in every sliding second.
 
 use brasspond_fleet::WarmUp;
+use brasspond_golden::{Digest, check_lines};
 use brasspond_warmup::{Budget, LEADERS_OVERLAP, PERMIT_MS, PeerClock, Permit, Rate, Spell};
 use proptest::prelude::*;
+use proptest::strategy::ValueTree;
+use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
 use std::collections::VecDeque;
 
@@ -59,6 +62,8 @@
     leaders: Vec<Leader>,
     edges: Vec<Edge>,
     sent: Vec<u64>,
+    /// All permits that leaders granted.
+    digest: Digest,
 }
 
 fn rate() -> Rate {
@@ -81,6 +86,7 @@
             leaders: Vec::new(),
             edges: edges.collect(),
             sent: Vec::new(),
+            digest: Digest::default(),
         }
     }
 
@@ -144,6 +150,7 @@
                         replica: "replica".into(),
                         send_by: shown + PERMIT_MS + guessed,
                     };
+                    self.digest.add(0, &(number, edge, now, &permit));
                     let arrives = now + self.delay();
                     self.edges[edge].inbox.push_back((arrives, permit));
                 }
@@ -173,12 +180,16 @@
         }
     }
 
-    fn run(mut self, ms: u64) -> Vec<u64> {
+    fn play(&mut self, ms: u64) {
         for now in (0..ms).step_by(STEP as usize) {
             self.begin_leaders(now);
             self.grant(now);
             self.send(now);
         }
+    }
+
+    fn run(mut self, ms: u64) -> Vec<u64> {
+        self.play(ms);
         self.sent
     }
 }
@@ -232,6 +243,24 @@
     }
 }
 
+/// A change that is to leave all decisions as they are leaves these digests as they are.
+#[rstest]
+fn decisions_are_as_kept() {
+    const PLAYS: u64 = 60;
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
+    let mut runner = TestRunner::new_with_rng(config(), rng);
+    let plans = any_plan();
+    let digests = (0..PLAYS).map(|number| {
+        let plan = plans.new_tree(&mut runner).expect("drawn").current();
+        let mut play = Play::new(&plan, None);
+        play.play(10_000);
+        format!("{number} {}", play.digest.line())
+    });
+    let digests: Vec<String> = digests.collect();
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/decisions.txt");
+    check_lines(file.as_ref(), &digests);
+}
+
 /// A play in which all that may go wrong does. Two rounds of grants reach edges that stand
 /// still, and wait there until all go on.
 fn rough_plan() -> Plan {
