--- /dev/null
+++ b/crates/telemetry/tests/golden.rs
@@ -0,0 +1,61 @@
+//! Names that operators rely on, as an earlier build had them: metrics and their labels, log
+//! events and their keys.
+
+use brasspond_golden::{check_lines, literals, names};
+use brasspond_telemetry::{EdgeMetrics, StorageMetrics, StorageState};
+use rstest::rstest;
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+fn golden(name: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
+    folder.join(name)
+}
+
+/// Folders of sources of the product.
+fn folders() -> Vec<PathBuf> {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let folders = ["crates", "platform"].map(|name| root.join(name));
+    folders.into()
+}
+
+#[rstest]
+fn metrics() {
+    let edge = EdgeMetrics::default().text(0);
+    let storage = StorageMetrics::default().text(&StorageState::default());
+    let lines = edge.lines().chain(storage.lines());
+    let types = lines.filter(|line| line.starts_with("# TYPE"));
+    let types: Vec<String> = types.map(str::to_string).collect();
+    check_lines(&golden("metrics.txt"), &types);
+}
+
+/// Names and labels of metrics, and values of labels, stand in the sources as literals.
+#[rstest]
+fn labels() {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
+    check_lines(&golden("labels.txt"), &names(&folder));
+}
+
+/// A log line names its event first, then its keys.
+#[rstest]
+fn log_events() {
+    let texts = folders().into_iter().flat_map(|folder| literals(&folder));
+    let lines: BTreeSet<String> = texts.filter_map(|text| event_keys(&text)).collect();
+    let lines: Vec<String> = lines.into_iter().collect();
+    assert!(lines.len() > 100, "the search covers the product");
+    check_lines(&golden("log_events.txt"), &lines);
+}
+
+/// The event of a log line with its keys in order; none: the text is no log line.
+fn event_keys(text: &str) -> Option<String> {
+    let start = text.find("event=")?;
+    let words = text[start..].split_whitespace();
+    let keys = words.filter_map(|word| word.split_once('='));
+    let mut keys = keys.map(|(key, value)| match key {
+        "event" => value.to_string(),
+        _ => key.to_string(),
+    });
+    let event = keys.next().filter(|event| !event.is_empty())?;
+    let keys: Vec<String> = keys.collect();
+    Some(format!("{event} {}", keys.join(" ")).trim_end().to_string())
+}
