--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod attempts;
 mod auth;
+mod catalogue_store;
 mod completions;
 mod decisions;
 mod engine_client;
@@ -24,4 +25,5 @@
 mod store_client;
 mod view;
 
+pub use catalogue_store::CatalogueStoreError;
 pub use runtime::{Node, StartError};
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -1,6 +1,7 @@
 //! Assembly of a node: threads, rings and sockets.
 
 use crate::attempts;
+use crate::catalogue_store::{CatalogueStore, CatalogueStoreError};
 use crate::decisions::{self, Outlets};
 use crate::handle::Handle;
 use crate::metrics::Metrics;
@@ -9,7 +10,6 @@
 use crate::service_replicas::ServiceReplicas;
 use crate::view::View;
 use brasspond_control::{Control, Event, Parameters};
-use brasspond_durable::DurableState;
 use brasspond_http::{Limits, serve};
 use brasspond_membership::{Instance, Member, MemberState};
 use brasspond_protocol::Sealer;
@@ -51,7 +51,7 @@
     /// a thread cannot be started: {0}
     Thread(std::io::Error),
     /// the data folder cannot be used: {0}
-    Disk(brasspond_durable::DurableError),
+    Disk(CatalogueStoreError),
 }
 
 impl std::error::Error for StartError {}
@@ -112,7 +112,7 @@
 
         let (disk, kept) = match &settings.data_folder {
             Some(folder) => {
-                let state = DurableState::open(folder).map_err(StartError::Disk)?;
+                let state = CatalogueStore::open(folder).map_err(StartError::Disk)?;
                 let kept = state.catalogue();
                 let (sender, ring) = sync_channel(DISK_RING);
                 threads.push(spawn(&settings.name, "disk", move || {
@@ -268,7 +268,7 @@
 }
 
 /// Keeps the newest configuration that waits; older ones are passed over.
-fn keep_on_disk(state: &DurableState, ring: &Receiver<Arc<Catalogue>>) {
+fn keep_on_disk(state: &CatalogueStore, ring: &Receiver<Arc<Catalogue>>) {
     while let Ok(mut catalogue) = ring.recv() {
         while let Ok(newer) = ring.try_recv() {
             catalogue = newer;
