--- a/crates/telemetry/tests/golden.rs
+++ b/crates/telemetry/tests/golden.rs
@@ -15,7 +15,7 @@
 /// Folders of sources of the product.
 fn folders() -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let folders = ["crates", "platform"].map(|name| root.join(name));
+    let folders = ["crates", "platform", "standalone"].map(|name| root.join(name));
     folders.into()
 }
 
