--- a/standalone/node/src/catalogue_store.rs
+++ b/standalone/node/src/catalogue_store.rs
@@ -50,7 +50,8 @@
             Err(_) => {
                 set_aside(&file).map_err(CatalogueStoreError::Folder)?;
                 let database = Database::create(&file);
-                let database = database.map_err(|error| CatalogueStoreError::Store(error.into()))?;
+                let database =
+                    database.map_err(|error| CatalogueStoreError::Store(error.into()))?;
                 Ok(Self { database })
             }
         }
@@ -70,7 +71,8 @@
     /// The disk is full or fails; what was kept before stays.
     pub(crate) fn keep_catalogue(&self, catalogue: &Catalogue) -> Result<(), CatalogueStoreError> {
         let bytes = rmp_serde::to_vec(catalogue).map_err(CatalogueStoreError::Encode)?;
-        self.put(CATALOGUE, &bytes).map_err(CatalogueStoreError::Store)
+        self.put(CATALOGUE, &bytes)
+            .map_err(CatalogueStoreError::Store)
     }
 
     fn put(&self, key: &str, bytes: &[u8]) -> Result<(), redb::Error> {
