--- a/crates/autoscaling/src/autoscaler.rs
+++ b/crates/autoscaling/src/autoscaler.rs
@@ -1,8 +1,8 @@
 //! The autoscaler of a leader.
 
-use crate::Millis;
 use crate::peak::Peak;
 use brasspond_fleet::{FleetView, Scaling, Service};
+use brasspond_units::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/autoscaling/src/lib.rs
+++ b/crates/autoscaling/src/lib.rs
@@ -21,6 +21,3 @@
 
 pub use autoscaler::{Autoscaler, ScaleAnswer, ScaleOrder};
 pub use peak::Peak;
-
-/// Milliseconds of a steady clock.
-pub type Millis = u64;
--- a/crates/autoscaling/src/peak.rs
+++ b/crates/autoscaling/src/peak.rs
@@ -1,7 +1,7 @@
 //! The most work at one time lately, and whether it was watched for long enough.
 
-use crate::Millis;
 use crate::waves::Waves;
+use brasspond_units::Millis;
 use std::collections::VecDeque;
 
 /// Time over which the most is remembered, in ms: several steps of a trainer, whose work
--- a/crates/brasspond/tests/ended.rs
+++ b/crates/brasspond/tests/ended.rs
@@ -149,7 +149,7 @@
 }
 
 /// The leader that ordered scorings is lost; their job ends under the next, which has never heard
-/// of them: an edge's telling of its runs leaves them out, so that nothing on its link ends them
+/// of them: an edge's registration of its runs leaves them out, so that nothing on its link ends them
 /// before leave is renewed.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/cluster-protocol/src/lib.rs
+++ b/crates/cluster-protocol/src/lib.rs
@@ -17,8 +17,9 @@
 use brasspond_consensus::{Member, MemberId};
 use brasspond_fleet::{FleetView, Regions, ViewDelta};
 use brasspond_jobs::{BodyError, Page, Submission};
-use brasspond_metering::{UsageReport, WallMillis, WindowNumber};
-use brasspond_quarantine::{EndReport, Fingerprint, Told};
+use brasspond_metering::{UsageReport, WindowNumber};
+use brasspond_quarantine::{CasesUpdate, EndReport, Fingerprint};
+use brasspond_units::WallMillis;
 use brasspond_warmup::Permit;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -145,7 +146,7 @@
 pub struct Registration {
     /// Number of the newest list of runs ([`Message::Runs`]) that the leader took. It knows the
     /// runs of that list and those that it ordered since, and no others.
-    pub telling: u64,
+    pub number: u64,
     /// Until when the edge may begin work, by its own steady clock in ms; none: the sender is
     /// not sure that it leads.
     pub until: Option<u64>,
@@ -209,15 +210,15 @@
     Registered(Option<Registration>),
     /// Leader to edge: run an item.
     Run {
-        /// The telling of runs that the sender goes by; void after a newer one.
-        telling: u64,
+        /// The registration of runs that the sender goes by; void after a newer one.
+        registration: u64,
         /// What to run.
         spec: Box<RunSpec>,
     },
     /// Leader to edge: score a text that the log holds.
     Score {
-        /// The telling of runs that the sender goes by; void after a newer one.
-        telling: u64,
+        /// The registration of runs that the sender goes by; void after a newer one.
+        registration: u64,
         /// What to score.
         spec: Box<ScoringSpec>,
     },
@@ -238,8 +239,8 @@
     Runs {
         /// Term of the leader it is meant for.
         term: u64,
-        /// Number of this telling: each of a process has a higher one.
-        telling: u64,
+        /// Number of this registration: each of a process has a higher one.
+        registration: u64,
         /// What the sender's steady clock shows, in ms from its start.
         uptime: u64,
         /// Runs under way or ended and not recorded.
@@ -274,7 +275,7 @@
     /// Edge to leader: a replica answered a content under which others had ended.
     ContentAnswered(Fingerprint),
     /// Leader to edge: contents under which replicas ended.
-    Quarantine(Told),
+    Quarantine(CasesUpdate),
     /// Shows that the sender lives. From the leader to a storage process: that it
     /// still leads.
     Beat {
--- a/crates/cluster-protocol/src/run.rs
+++ b/crates/cluster-protocol/src/run.rs
@@ -156,7 +156,7 @@
     /// The replica said that it did not run the item.
     NotRun {
         /// It is no longer the replica it was taken for.
-        other_instance: bool,
+        other_replica: bool,
     },
     /// The replica ran it and failed (500).
     Failed,
--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -5,7 +5,7 @@
 //! leave that time out; [`within`] looks at this clock between them. The time of day orders
 //! nothing here, and is only told on.
 
-use brasspond_metering::WallMillis;
+use brasspond_units::WallMillis;
 use nix::time::ClockId;
 use std::future::Future;
 use std::ops::Add;
--- a/crates/cluster/src/edge/asking.rs
+++ b/crates/cluster/src/edge/asking.rs
@@ -3,7 +3,7 @@
 
 use super::process::Edge;
 use crate::clock::{Moment, within};
-use crate::outside::RegistryError;
+use crate::platform::RegistryError;
 use brasspond_cluster_protocol::{Answer, Question};
 use std::rc::Rc;
 use std::time::Duration;
@@ -128,7 +128,7 @@
 pub(super) async fn find_members(edge: Rc<Edge>) {
     let process = &edge.settings.process;
     let is_seed = process.seeds.contains(&process.cluster_address);
-    let asks_seeds_first = process.first_start && !is_seed;
+    let asks_seeds_first = process.may_bootstrap && !is_seed;
     let mut seed_searches = if asks_seeds_first { SEED_SEARCHES } else { 0 };
     let mut pause = SEARCH_PAUSE;
     loop {
@@ -164,7 +164,7 @@
 
 /// Connects to the members that the group's record names; says whether it does.
 async fn read_record(edge: &Rc<Edge>) -> bool {
-    match edge.outside.registry.read().await {
+    match edge.platform.registry.read().await {
         Ok(Some(record)) => {
             let mut cluster = edge.cluster.borrow_mut();
             for member in &record.members {
--- a/crates/cluster/src/edge/balance.rs
+++ b/crates/cluster/src/edge/balance.rs
@@ -4,7 +4,7 @@
 use crate::link::LinkContext;
 use brasspond_distance::Distance;
 use brasspond_eligibility::{Clearance, Standing, Unfit, Work};
-use brasspond_fleet::{FleetView, Heard, Identity, Lives, ReplicaInfo};
+use brasspond_fleet::{FleetView, Identity, LifeChange, Lives, ReplicaInfo};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -108,7 +108,7 @@
         let links = &self.links;
         for (id, info) in view.replicas.iter() {
             let heard = self.lives.hear_entry(id, info.life, info.revision, now);
-            if heard == Heard::Older {
+            if heard == LifeChange::Older {
                 if let Some(known) = self.replicas.get_mut(id) {
                     known.standing.renew_limits(info, view, now);
                 }
@@ -116,7 +116,7 @@
             }
             let known = self.replicas.entry(id.clone());
             let known = known.or_insert_with(|| Known::new(info, view, links, now));
-            if matches!(heard, Heard::Reborn { .. }) {
+            if matches!(heard, LifeChange::Reborn { .. }) {
                 reborn.push((self.lives.identity(id), known.standing.address));
                 known.begin_life(info, view, links, now);
             }
@@ -219,8 +219,8 @@
     }
 
     /// Whether a lower life was heard that may yet be the present one.
-    pub fn is_in_doubt(&self) -> bool {
-        self.lives.is_in_doubt()
+    pub fn is_uncertain(&self) -> bool {
+        self.lives.is_uncertain()
     }
 
     /// A replica in the life that is known.
--- a/crates/cluster/src/edge/cluster.rs
+++ b/crates/cluster/src/edge/cluster.rs
@@ -9,8 +9,9 @@
 };
 use brasspond_consensus::Member;
 use brasspond_fleet::{FleetView, Regions, ViewDelta};
-use brasspond_metering::{WallMillis, WindowNumber};
-use brasspond_quarantine::Told;
+use brasspond_metering::WindowNumber;
+use brasspond_quarantine::CasesUpdate;
+use brasspond_units::WallMillis;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -67,7 +68,7 @@
     Score(Box<ScoringSpec>),
     Cancel(u64, AttemptId),
     Recorded(AttemptId),
-    Quarantine(Told),
+    Quarantine(CasesUpdate),
 }
 
 /// Storage processes, links, questions under way.
@@ -85,7 +86,7 @@
     next_number: u64,
     newest_term: u64,
     beat_at: u64,
-    /// Leave to begin work, and the telling of runs that it goes by.
+    /// Leave to begin work, and the registration of runs that it goes by.
     lease: WorkLease,
     /// What the leader wants this edge to watch at the view's source.
     watch: Watch,
@@ -105,11 +106,11 @@
 impl Cluster {
     pub fn new(
         hello: Peer,
-        first_start: bool,
+        may_bootstrap: bool,
         events: mpsc::Sender<LinkEvent>,
         context: Rc<LinkContext>,
     ) -> Self {
-        let start_patience = if first_start {
+        let start_patience = if may_bootstrap {
             ALONE_AT_FIRST_START
         } else {
             ALONE_AT_START
@@ -306,10 +307,10 @@
             Message::View(view) => vec![Happening::View(view)],
             Message::ViewChanged(delta) => vec![Happening::ViewChanged(delta, link)],
             Message::Registered(registration) => self.on_registered(link, registration, now),
-            Message::Run { telling, spec } if self.goes_by(telling, spec.attempt) => {
+            Message::Run { registration, spec } if self.goes_by(registration, spec.attempt) => {
                 vec![Happening::Run(spec)]
             }
-            Message::Score { telling, spec } if self.goes_by(telling, spec.attempt) => {
+            Message::Score { registration, spec } if self.goes_by(registration, spec.attempt) => {
                 vec![Happening::Score(spec)]
             }
             Message::Cancel { term, attempt } => vec![Happening::Cancel(term, attempt)],
@@ -394,29 +395,29 @@
         log::info!(
             "event=runs_told_again reason=not_registered term={} telling={}",
             leader.term,
-            self.lease.telling()
+            self.lease.registration()
         );
         vec![Happening::TellRuns(leader.term)]
     }
 
-    /// Whether an order is of a leader that goes by the newest telling of runs. One that was
+    /// Whether an order is of a leader that goes by the newest registration of runs. One that was
     /// under way when this edge told its runs is in no list of that leader's: it has given the
     /// run up, and would never end it. After standstills of 1.8 s six edges began 16 such runs
     /// of a job of 24 items, which scored their texts 6.7 s after the job had ended.
-    fn goes_by(&self, telling: u64, attempt: AttemptId) -> bool {
-        let is_current = telling == self.lease.telling();
+    fn goes_by(&self, registration: u64, attempt: AttemptId) -> bool {
+        let is_current = registration == self.lease.registration();
         if !is_current {
             log::info!(
-                "event=order_refused attempt={attempt} reason=older_telling telling={telling} newest={}",
-                self.lease.telling()
+                "event=order_refused attempt={attempt} reason=older_telling telling={registration} newest={}",
+                self.lease.registration()
             );
         }
         is_current
     }
 
-    /// Numbers a telling of all runs; orders given before it are void.
-    pub(super) fn begin_telling(&mut self, now: u64) -> u64 {
-        self.lease.begin_telling(now)
+    /// Numbers a registration of all runs; orders given before it are void.
+    pub(super) fn begin_registration(&mut self, now: u64) -> u64 {
+        self.lease.begin_registration(now)
     }
 
     /// Leave to begin work.
@@ -532,7 +533,7 @@
     }
 
     /// Sends the leader a message, if one is known. What its queue does not take is made good
-    /// by telling all again with the next look, which voids orders under way: the end of a run is
+    /// by registration all again with the next look, which voids orders under way: the end of a run is
     /// told once, and one that was lost kept its place on its replica taken for as long as the leader led.
     pub(super) fn tell_leader(&self, message: &Message) {
         let Some(leader) = self.cluster.borrow().leader() else {
--- a/crates/cluster/src/edge/ended.rs
+++ b/crates/cluster/src/edge/ended.rs
@@ -11,7 +11,7 @@
 use crate::upstream::{Look, look};
 use brasspond_cluster_protocol::{Message, RunSpec};
 use brasspond_fleet::Identity;
-use brasspond_quarantine::{EndReport, Fingerprint, Told};
+use brasspond_quarantine::{CasesUpdate, EndReport, Fingerprint};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -74,9 +74,9 @@
 
     /// Whether no replica is to run the request. Before this was asked, one content ended
     /// 13 replicas within 40 s, three at a time as soon as they were back.
-    pub(super) fn is_held(&self) -> bool {
+    pub(super) fn is_quarantined(&self) -> bool {
         let quarantine = self.edge.quarantine.borrow();
-        !quarantine.is_idle() && quarantine.is_held(self.content())
+        !quarantine.is_idle() && quarantine.is_quarantined(self.content())
     }
 
     /// A replica answered the request.
@@ -167,7 +167,7 @@
     }
 
     /// Takes what the leader tells of contents.
-    pub(super) fn take_quarantine(&self, told: Told) {
+    pub(super) fn take_quarantine(&self, told: CasesUpdate) {
         let (is_whole, changed) = (told.is_whole, told.cases.len());
         let mut quarantine = self.quarantine.borrow_mut();
         quarantine.take(told);
--- a/crates/cluster/src/edge/evacuation.rs
+++ b/crates/cluster/src/edge/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones at an edge: what is in force here, and telling a leader that lacks it.
+//! Evacuated zones at an edge: what is in force here, and registration a leader that lacks it.
 
 use super::process::Edge;
 use brasspond_cluster_protocol::Message;
--- a/crates/cluster/src/edge/forward.rs
+++ b/crates/cluster/src/edge/forward.rs
@@ -130,7 +130,7 @@
     counted: Counted,
 ) -> Response<Body> {
     let route = admitted.route;
-    let names = edge.outside.dialect.names();
+    let names = edge.platform.wire.names();
     let held = header_number(&head.headers, &names.deadline_ms).unwrap_or(route.timeout_ms);
     let held = held.min(route.timeout_ms.max(1));
     let deadline = arrived + Duration::from_millis(held);
@@ -183,7 +183,7 @@
     ) -> Option<Self> {
         let route = admitted.route;
         let target = choose_target(&route.targets, edge.count_request(route))?;
-        let names = edge.outside.dialect.names();
+        let names = edge.platform.wire.names();
         let id = header_text(&head.headers, &names.request_id);
         Some(Self {
             edge: Rc::clone(edge),
@@ -361,7 +361,7 @@
             service: &self.service,
             regions: &self.regions,
             weights: None,
-            is_held: self.is_held(),
+            is_quarantined: self.is_quarantined(),
             now: self.edge.clock.now(),
             permit: None,
         }
@@ -426,11 +426,11 @@
             attempts,
             offers,
         } = refused;
-        let is_held = unfit == Some(Unfit::Held);
+        let is_quarantined = unfit == Some(Unfit::Quarantined);
         let view = self.edge.view.borrow();
         let ready = view.working_replicas(&self.service).count();
         log::info!(
-            "event=request_failed request={} route={} service={} content={} attempts={attempts} offers={offers} quarantined={is_held} unfit={} may_have_run={may_have_run} late={} ready_replicas={ready} elapsed_ms={} configuration={} replicas_revision={}",
+            "event=request_failed request={} route={} service={} content={} attempts={attempts} offers={offers} quarantined={is_quarantined} unfit={} may_have_run={may_have_run} late={} ready_replicas={ready} elapsed_ms={} configuration={} replicas_revision={}",
             self.id,
             self.route.name,
             self.service,
@@ -443,7 +443,7 @@
         );
         let outcome = match (may_have_run, unfit) {
             (true, _) => "failed",
-            (false, Some(Unfit::Held)) => "quarantined",
+            (false, Some(Unfit::Quarantined)) => "quarantined",
             (
                 false,
                 Some(unfit @ (Unfit::Evacuated | Unfit::ZoneUnknown | Unfit::OutsideRegions)),
@@ -471,7 +471,7 @@
         }
         drop(view);
         let lack = match unfit {
-            Some(Unfit::Held) => Lack::Release,
+            Some(Unfit::Quarantined) => Lack::Release,
             Some(Unfit::Evacuated) => Lack::Zone,
             Some(Unfit::ZoneUnknown) => Lack::Configuration,
             Some(Unfit::OutsideRegions) => Lack::Regions,
@@ -603,7 +603,7 @@
         status: StatusCode,
         headers: &HeaderMap,
     ) -> Result<(), Failed> {
-        let names = self.edge.outside.dialect.names();
+        let names = self.edge.platform.wire.names();
         if header_text(headers, &names.request_id) != self.id {
             return Err(Failed::MayHaveRun(Lost::Foreign));
         }
@@ -623,7 +623,7 @@
     }
 
     fn request(&self, replica: &str, after: Option<u64>) -> Option<Request<Full<Bytes>>> {
-        let names = self.edge.outside.dialect.names();
+        let names = self.edge.platform.wire.names();
         let path = self.head.uri.path_and_query()?;
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
@@ -641,7 +641,7 @@
         let left = u64::try_from(self.left().as_millis()).unwrap_or(u64::MAX);
         headers.insert(names.deadline_ms.clone(), HeaderValue::from(left.max(1)));
         let replica = HeaderValue::from_str(replica).ok()?;
-        headers.insert(names.expect_instance.clone(), replica);
+        headers.insert(names.required_replica.clone(), replica);
         if let Some(after) = after {
             headers.insert(names.last_event_id.clone(), HeaderValue::from(after));
         }
@@ -653,7 +653,7 @@
     }
 
     fn note_load(&self, replica: &str, headers: &HeaderMap) {
-        let names = self.edge.outside.dialect.names();
+        let names = self.edge.platform.wire.names();
         let text = header_text(headers, &names.load);
         let mut numbers = text.split(',').map(|part| part.trim().parse::<u32>());
         if let (Some(Ok(running)), Some(Ok(waiting))) = (numbers.next(), numbers.next()) {
--- a/crates/cluster/src/edge/front.rs
+++ b/crates/cluster/src/edge/front.rs
@@ -3,10 +3,10 @@
 use super::asking::AskError;
 use super::forward::{Admitted, forward, give_up, header_text};
 use super::process::Edge;
-use super::residency::Outside;
+use super::residency::RegionRefusal;
 use super::retry::Lack;
 use crate::clock::Moment;
-use crate::outside::Call;
+use crate::platform::Call;
 use brasspond_cluster_protocol::{Answer, Question};
 use brasspond_fleet::Denial;
 use brasspond_jobs::Submission;
@@ -145,7 +145,7 @@
     let counted = Counted::new(edge);
     let begun = Moment::now();
     let (head, body) = request.into_parts();
-    let call = edge.outside.dialect.call(&head);
+    let call = edge.platform.wire.call(&head);
     let told = JobCall::of(&call);
     let mut response = match call {
         Call::Unknown => plain(StatusCode::NOT_FOUND, Bytes::new()),
@@ -175,7 +175,7 @@
     let Some(index) = edge.known_index(&head.headers).await else {
         return Err(Box::new(edge.turn_away(Lack::Configuration, 0)));
     };
-    let credential = edge.outside.dialect.credential(&head.headers);
+    let credential = edge.platform.wire.credential(&head.headers);
     let is_public = index.has_public_jobs(&host_of(head));
     match index.admit(credential, is_public) {
         Ok(tenant) => Ok(tenant.map(|tenant| Arc::clone(&tenant.name))),
@@ -293,7 +293,7 @@
         );
         return plain(StatusCode::NOT_FOUND, Bytes::new());
     };
-    let credential = edge.outside.dialect.credential(&head.headers);
+    let credential = edge.platform.wire.credential(&head.headers);
     let tenant = match index.admit(credential, route.is_public) {
         Ok(tenant) => tenant,
         Err(denial) => return deny(edge, &head, denial, configuration.version),
@@ -330,14 +330,14 @@
     body: &[u8],
     arrived: Moment,
 ) -> Response<Body> {
-    let names = edge.outside.dialect.names();
+    let names = edge.platform.wire.names();
     let id = head.headers.get(&names.request_id);
     let Some(id) = id.and_then(|id| id.to_str().ok()) else {
         return plain(StatusCode::BAD_REQUEST, Bytes::new());
     };
     let parsed = edge
-        .outside
-        .dialect
+        .platform
+        .wire
         .submission(id, &host_of(head), head.uri.path(), body);
     let submission = match parsed {
         Ok(submission) => Submission {
@@ -363,7 +363,7 @@
         Ok(Answer::Evacuated) => ("evacuated", edge.turn_away(Lack::Zone, 0)),
         Ok(Answer::OutsideRegions) => (
             "outside_regions",
-            edge.refuse_outside(id, admitted.route, Outside::Members),
+            edge.refuse_outside(id, admitted.route, RegionRefusal::Members),
         ),
         Err(AskError::NotAsked) => ("no_leader", edge.turn_away(Lack::Leader, 0)),
         Ok(_) | Err(AskError::Unknown) => ("unknown", give_up(StatusCode::GATEWAY_TIMEOUT)),
@@ -384,7 +384,7 @@
     let deadline = Moment::now() + wait + READ_TIME;
     let answer = edge.ask_results(question, wait, deadline, READ_PATIENCE);
     match answer.await {
-        Ok(Answer::Page(Some(page))) => json(edge.outside.dialect.page(&page)),
+        Ok(Answer::Page(Some(page))) => json(edge.platform.wire.page(&page)),
         Ok(Answer::Page(None)) => plain(StatusCode::NOT_FOUND, Bytes::new()),
         _ => edge.turn_away(Lack::Answer, 0),
     }
@@ -412,7 +412,7 @@
 
 /// Identity of a request, for logs.
 pub(super) fn request_id(edge: &Edge, head: &hyper::http::request::Parts) -> String {
-    let names = edge.outside.dialect.names();
+    let names = edge.platform.wire.names();
     header_text(&head.headers, &names.request_id)
 }
 
--- a/crates/cluster/src/edge/process.rs
+++ b/crates/cluster/src/edge/process.rs
@@ -11,7 +11,7 @@
 use crate::clock::{Clock, Standstill};
 use crate::evacuation::Evacuations;
 use crate::link::{LinkContext, LinkEvent, TRAFFIC_PAUSE, accept_links};
-use crate::outside::{Interest, Outside};
+use crate::platform::{Interest, Platform};
 use crate::settings::EdgeSettings;
 use crate::storage::ProcessError;
 use crate::upstream::Pool;
@@ -19,7 +19,7 @@
 use brasspond_distance::Place;
 use brasspond_eligibility::{Clearance, Unfit, Work};
 use brasspond_fleet::{ConfigurationIndex, FleetView, Identity, OtherBase, Regions, ViewDelta};
-use brasspond_metering::{ToldClock, UsageRecorder};
+use brasspond_metering::{LeaderClock, UsageRecorder};
 use brasspond_quarantine::Recorder;
 use brasspond_telemetry::{EdgeMetrics, LogRing};
 use std::cell::{Cell, RefCell};
@@ -50,7 +50,7 @@
 pub(super) struct Edge {
     pub settings: EdgeSettings,
     pub clock: Clock,
-    pub outside: Outside,
+    pub platform: Platform,
     pub view: RefCell<FleetView>,
     /// Evacuated zones as they were last logged.
     pub evacuations: RefCell<Evacuations>,
@@ -84,7 +84,7 @@
     pub metrics: EdgeMetrics,
     /// What tenants used here; none where nobody asks for it.
     pub usage: RefCell<Option<UsageRecorder>>,
-    pub told_clock: RefCell<ToldClock>,
+    pub told_clock: RefCell<LeaderClock>,
     /// Contents under which replicas ended.
     pub quarantine: RefCell<Recorder>,
     /// Questions for leave to send to replicas that warm up.
@@ -105,7 +105,7 @@
 /// See [`ProcessError`].
 pub async fn run(
     settings: EdgeSettings,
-    outside: Outside,
+    platform: Platform,
     log_ring: Option<LogRing>,
 ) -> Result<(), ProcessError> {
     let front_listener = TcpListener::bind(settings.front).await;
@@ -127,8 +127,8 @@
         region: settings.process.region.clone(),
     };
     let evacuates = settings.process.evacuates;
-    let first_start = settings.process.first_start;
-    let cluster = Cluster::new(hello, first_start, events.clone(), Rc::clone(&context));
+    let may_bootstrap = settings.process.may_bootstrap;
+    let cluster = Cluster::new(hello, may_bootstrap, events.clone(), Rc::clone(&context));
     log::info!(
         "event=started role=edge machine={} front={}",
         settings.process.machine,
@@ -140,7 +140,7 @@
         balance: RefCell::new(Balance::new(Rc::clone(&context))),
         settings,
         clock: Clock::default(),
-        outside,
+        platform,
         view: RefCell::new(FleetView::unknown(evacuates)),
         evacuations: RefCell::default(),
         index: RefCell::new(None),
@@ -178,7 +178,7 @@
     tokio::task::spawn_local(front::serve(Rc::clone(&edge), front_listener));
     tokio::task::spawn_local(super::asking::find_members(Rc::clone(&edge)));
     serve_metrics(&edge, log_ring);
-    let mut observed = edge.outside.observed.clone();
+    let mut observed = edge.platform.observed.clone();
     edge.set_interest(edge.clock.now());
     let mut standstill = Standstill::new(edge.clock.now());
     let mut tick = tokio::time::interval_at(tokio::time::Instant::now() + FIRST_TICK, TICK);
@@ -218,7 +218,7 @@
         let text = move || {
             let dropped = log_ring.as_ref().map_or(0, LogRing::dropped);
             edge.links.tell_metrics(&edge.metrics);
-            edge.outside.observed.borrow().tell_metrics(&edge.metrics);
+            edge.platform.observed.borrow().tell_metrics(&edge.metrics);
             edge.metrics.text(dropped)
         };
         tokio::task::spawn_local(crate::metrics_server::serve(address, Rc::new(text)));
@@ -339,7 +339,7 @@
             service: &standing.service,
             regions: &regions,
             weights: None,
-            is_held: false,
+            is_quarantined: false,
             now: self.clock.now(),
             permit: permit.as_ref(),
         })
@@ -372,7 +372,7 @@
             },
             Watch::Everything => Interest::ALL,
         };
-        self.outside.interest.send_if_modified(|interest| {
+        self.platform.interest.send_if_modified(|interest| {
             let changes = *interest != wanted;
             *interest = wanted;
             changes
@@ -425,8 +425,8 @@
     /// A lower life counts after [`brasspond_fleet::SET_BACK_MS`] also where no entry changes
     /// meanwhile.
     fn settle_lives(&self) {
-        let is_in_doubt = self.balance.borrow().is_in_doubt();
-        if is_in_doubt {
+        let is_uncertain = self.balance.borrow().is_uncertain();
+        if is_uncertain {
             self.take_replicas();
         }
     }
--- a/crates/cluster/src/edge/ready.rs
+++ b/crates/cluster/src/edge/ready.rs
@@ -103,7 +103,7 @@
     /// edge asks the source by itself.
     pub(super) fn is_cut_off(&self) -> bool {
         let alone = self.cluster.borrow_mut().alone_for(self.clock.now());
-        let source_answers = self.outside.observed.borrow().reachable;
+        let source_answers = self.platform.observed.borrow().reachable;
         alone >= CUT_OFF_TIME && !source_answers
     }
 }
--- a/crates/cluster/src/edge/residency.rs
+++ b/crates/cluster/src/edge/residency.rs
@@ -12,7 +12,7 @@
 
 /// Why a request is refused for the regions of its data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Outside {
+pub(super) enum RegionRefusal {
     /// Its route and its tenant share no region.
     NoRegionShared,
     /// Members of the log stand elsewhere.
@@ -21,7 +21,7 @@
     MembersUnknown,
 }
 
-impl Outside {
+impl RegionRefusal {
     /// Name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -46,14 +46,14 @@
 ///
 /// # Errors
 /// Why it is refused.
-pub(super) fn check(regions: &Regions, may_hold: Option<bool>) -> Result<(), Outside> {
+pub(super) fn check(regions: &Regions, may_hold: Option<bool>) -> Result<(), RegionRefusal> {
     if regions.is_empty() {
-        return Err(Outside::NoRegionShared);
+        return Err(RegionRefusal::NoRegionShared);
     }
     match may_hold {
         Some(true) => Ok(()),
-        Some(false) => Err(Outside::Members),
-        None => Err(Outside::MembersUnknown),
+        Some(false) => Err(RegionRefusal::Members),
+        None => Err(RegionRefusal::MembersUnknown),
     }
 }
 
@@ -87,7 +87,7 @@
         &self,
         route: &Route,
         submission: &Submission,
-    ) -> Result<(), Outside> {
+    ) -> Result<(), RegionRefusal> {
         let Some(configuration) = self.view.borrow().configuration.clone() else {
             return Ok(());
         };
@@ -102,7 +102,7 @@
         &self,
         id: &str,
         route: &Route,
-        outside: Outside,
+        outside: RegionRefusal,
     ) -> Response<Body> {
         let configuration = self.view.borrow().configuration_revision;
         log::info!(
--- a/crates/cluster/src/edge/runs.rs
+++ b/crates/cluster/src/edge/runs.rs
@@ -127,7 +127,7 @@
             let end = match unfit {
                 Unfit::WarmingUp => RunEnd::Unsent,
                 _ => RunEnd::NotRun {
-                    other_instance: false,
+                    other_replica: false,
                 },
             };
             self.end_run(attempt, end);
@@ -258,7 +258,7 @@
             return;
         }
         let uptime = self.clock.now();
-        let telling = self.cluster.borrow_mut().begin_telling(uptime);
+        let registration = self.cluster.borrow_mut().begin_registration(uptime);
         self.drop_ordered_scorings();
         let mut reports = Vec::new();
         for (attempt, held) in &self.runs.borrow().held {
@@ -276,7 +276,7 @@
         }
         self.tell_leader(&Message::Runs {
             term,
-            telling,
+            registration,
             uptime,
             runs: reports,
             draining: self.draining.get(),
@@ -310,7 +310,7 @@
     clearance: &Clearance,
     progress: &RefCell<Progress>,
 ) -> RunEnd {
-    let names = edge.outside.dialect.names();
+    let names = edge.platform.wire.names();
     let Some(request) = build_request(edge, spec) else {
         return RunEnd::Impossible;
     };
@@ -326,7 +326,7 @@
     if !edge.still_takes_work(clearance) {
         edge.pool.give_back(connection);
         return RunEnd::NotRun {
-            other_instance: false,
+            other_replica: false,
         };
     }
     if !clearance.is_in_time(edge.clock.now()) {
@@ -357,7 +357,7 @@
     }
     if head.headers.contains_key(&names.not_run) || head.status == StatusCode::MISDIRECTED_REQUEST {
         return RunEnd::NotRun {
-            other_instance: head.status == StatusCode::MISDIRECTED_REQUEST,
+            other_replica: head.status == StatusCode::MISDIRECTED_REQUEST,
         };
     }
     match head.status {
@@ -379,7 +379,7 @@
     }
     let mut reader = EventReader::new(body, version);
     loop {
-        match reader.next(&*edge.outside.dialect).await {
+        match reader.next(&*edge.platform.wire).await {
             Ok(event) if event.version < spec.min_version => return RunEnd::TooOld,
             Ok(event) => {
                 let mut progress = progress.borrow_mut();
@@ -404,13 +404,13 @@
 }
 
 fn build_request(edge: &Edge, spec: &RunSpec) -> Option<Request<Full<Bytes>>> {
-    let names = edge.outside.dialect.names();
+    let names = edge.platform.wire.names();
     let mut builder = Request::builder()
         .method(Method::POST)
         .uri(&spec.path)
         .header(hyper::header::HOST, &spec.host)
         .header(&names.request_id, &spec.item_id)
-        .header(&names.expect_instance, &spec.replica);
+        .header(&names.required_replica, &spec.replica);
     for (name, value) in &spec.headers {
         let is_ours = names.credential.as_str().eq_ignore_ascii_case(name)
             || names.tenant.as_str().eq_ignore_ascii_case(name);
--- a/crates/cluster/src/edge/scoring.rs
+++ b/crates/cluster/src/edge/scoring.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Drops the scorings that were ordered before a telling of runs, which leaves them out: no
-    /// leader would end them with their job. Whoever takes the telling orders them again. Kept,
+    /// Drops the scorings that were ordered before a registration of runs, which leaves them out: no
+    /// leader would end them with their job. Whoever takes the registration orders them again. Kept,
     /// they made 107 calls past the end of a job of 24 items whose leader was lost.
     pub(super) fn drop_ordered_scorings(&self) {
         for (attempt, task) in self.scorings.borrow_mut().drain() {
@@ -202,7 +202,7 @@
         self.let_callers_pass(&request).await;
         let clearance = match request.choose(&self.tried).await {
             Ok(clearance) => clearance,
-            Err(Some(Unfit::Held)) => return Some(ScoringEnd::Unanswered),
+            Err(Some(Unfit::Quarantined)) => return Some(ScoringEnd::Unanswered),
             Err(_) => return None,
         };
         let replica = clearance.replica().to_string();
@@ -214,7 +214,7 @@
         let failed = match request.attempt(&clearance, None, patience).await {
             Ok(Attempt::Whole(status, headers, _)) if status.is_success() => {
                 request.note_answered();
-                let signature = &self.edge.outside.dialect.names().signature;
+                let signature = &self.edge.platform.wire.names().signature;
                 let score = header_text(&headers, signature);
                 return Some(ScoringEnd::Scored(score));
             }
@@ -254,7 +254,7 @@
     }
 
     fn head(&self) -> Option<Parts> {
-        let names = self.edge.outside.dialect.names();
+        let names = self.edge.platform.wire.names();
         let request = Request::builder()
             .method(Method::POST)
             .uri(&self.call.path)
--- a/crates/cluster/src/edge/starting.rs
+++ b/crates/cluster/src/edge/starting.rs
@@ -75,7 +75,7 @@
     }
 
     async fn held(&self, wanted: Known, headers: &HeaderMap, waited: Duration) {
-        let names = self.outside.dialect.names();
+        let names = self.platform.wire.names();
         let deadline = header_number(headers, &names.deadline_ms).map(Duration::from_millis);
         let hold = hold(self.clock.now(), deadline).saturating_sub(waited);
         if hold.is_zero() || self.draining.get() {
--- a/crates/cluster/src/edge/stream.rs
+++ b/crates/cluster/src/edge/stream.rs
@@ -1,6 +1,6 @@
 //! Reads the events of a replica's stream.
 
-use crate::outside::Dialect;
+use crate::platform::WireFormat;
 use brasspond_cluster_protocol::StreamEvent;
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -36,10 +36,10 @@
     }
 
     /// The next event.
-    pub async fn next(&mut self, dialect: &dyn Dialect) -> Result<StreamEvent, StreamEnd> {
+    pub async fn next(&mut self, wire: &dyn WireFormat) -> Result<StreamEvent, StreamEnd> {
         loop {
             if let Some(raw) = self.take_raw() {
-                return self.parse(&raw, dialect).ok_or(StreamEnd::Broken);
+                return self.parse(&raw, wire).ok_or(StreamEnd::Broken);
             }
             if self.buffer.len() > LONGEST_EVENT {
                 return Err(StreamEnd::Broken);
@@ -69,7 +69,7 @@
         Some(raw)
     }
 
-    fn parse(&mut self, raw: &Bytes, dialect: &dyn Dialect) -> Option<StreamEvent> {
+    fn parse(&mut self, raw: &Bytes, wire: &dyn WireFormat) -> Option<StreamEvent> {
         let mut id = None;
         let mut data: Option<Bytes> = None;
         for line in raw.split(|byte| *byte == b'\n') {
@@ -81,7 +81,7 @@
                     None => value,
                     Some(before) => [before.as_ref(), b"\n", value.as_ref()].concat().into(),
                 });
-            } else if let Some(version) = dialect.event_version(line) {
+            } else if let Some(version) = wire.event_version(line) {
                 self.version = version;
             }
         }
--- a/crates/cluster/src/edge/usage.rs
+++ b/crates/cluster/src/edge/usage.rs
@@ -7,7 +7,8 @@
 use super::forward::Forwarded;
 use super::process::Edge;
 use brasspond_cluster_protocol::Message;
-use brasspond_metering::{WallMillis, WindowNumber};
+use brasspond_metering::WindowNumber;
+use brasspond_units::WallMillis;
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/crates/cluster/src/edge/work_lease.rs
+++ b/crates/cluster/src/edge/work_lease.rs
@@ -13,18 +13,18 @@
 use brasspond_cluster_protocol::Registration;
 use tokio::sync::watch;
 
-/// Time for a leader to say that it took a telling, in ms: it says what it holds each 500 ms.
-/// An edge that is not known by then tells its runs again; sooner, the telling may be under way.
+/// Time for a leader to say that it took a registration, in ms: it says what it holds each 500 ms.
+/// An edge that is not known by then tells its runs again; sooner, the registration may be under way.
 const TELLING_TIME: u64 = 1_000;
-/// The time is doubled with each telling that was not taken, up to this, in ms: a leader whose
-/// answers take 1.2 s met a newer telling each time, and gave 0 ms of leave in 20 s.
+/// The time is doubled with each registration that was not taken, up to this, in ms: a leader whose
+/// answers take 1.2 s met a newer registration each time, and gave 0 ms of leave in 20 s.
 const LONGEST_TELLING_TIME: u64 = 8_000;
 
 /// An edge's leave to begin work.
 #[derive(Debug)]
 pub(super) struct WorkLease {
-    /// The newest telling of all runs.
-    telling: u64,
+    /// The newest registration of all runs.
+    registration: u64,
     told_at: u64,
     /// Time for that one to be taken, in ms.
     patience: u64,
@@ -35,7 +35,7 @@
 impl Default for WorkLease {
     fn default() -> Self {
         Self {
-            telling: 0,
+            registration: 0,
             told_at: 0,
             patience: TELLING_TIME,
             until: watch::Sender::new(0),
@@ -44,23 +44,23 @@
 }
 
 impl WorkLease {
-    /// Numbers a telling of all runs. Leave that was given holds on: it was given by a leader
+    /// Numbers a registration of all runs. Leave that was given holds on: it was given by a leader
     /// that knew all that had ended by then.
-    pub fn begin_telling(&mut self, now: u64) -> u64 {
-        self.telling += 1;
+    pub fn begin_registration(&mut self, now: u64) -> u64 {
+        self.registration += 1;
         self.told_at = now;
-        self.telling
+        self.registration
     }
 
-    /// The newest telling of all runs.
-    pub fn telling(&self) -> u64 {
-        self.telling
+    /// The newest registration of all runs.
+    pub fn registration(&self) -> u64 {
+        self.registration
     }
 
     /// Takes what the leader holds of this edge; false: it does not know the runs, and they
     /// are to be told again.
     pub fn renew(&mut self, registration: Option<Registration>, now: u64) -> bool {
-        let current = registration.filter(|held| held.telling == self.telling);
+        let current = registration.filter(|known| known.number == self.registration);
         let Some(current) = current else {
             let is_late = now >= self.told_at + self.patience;
             if is_late {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod link;
 mod link_context;
 mod metrics_server;
-pub mod outside;
+pub mod platform;
 pub mod settings;
 mod source;
 pub mod storage;
--- a/crates/cluster/src/outside.rs
+++ b/crates/cluster/src/platform.rs
@@ -178,15 +178,15 @@
     ) -> LocalBoxFuture<'_, OperationsAnswer>;
 }
 
-/// Names of the headers that the product reads or sets.
+/// HeaderNames of the headers that the product reads or sets.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct HeaderNames {
     /// Identity of a request.
     pub request_id: HeaderName,
     /// Milliseconds the caller waits.
     pub deadline_ms: HeaderName,
     /// The replica that must answer.
-    pub expect_instance: HeaderName,
+    pub required_replica: HeaderName,
     /// Which replica answered.
     pub instance: HeaderName,
     /// Signature of a replica's answer.
@@ -238,9 +238,9 @@
 }
 
 /// How callers and replicas speak.
-pub trait Dialect {
-    /// Names of headers.
-    fn names(&self) -> &Names;
+pub trait WireFormat {
+    /// HeaderNames of headers.
+    fn names(&self) -> &HeaderNames;
     /// The API keys that came with a call.
     fn credential(&self, headers: &HeaderMap) -> Credential;
     /// What a caller asks for.
@@ -282,7 +282,7 @@
     /// Rises with every holder.
     pub fence: u64,
     /// Orders the replica must have taken so far.
-    pub expected_count: u64,
+    pub expected_orders: u64,
     /// Runs end under their version first; else they go on under the new one.
     pub runs_finish: bool,
     /// The replica, in the life that is known.
@@ -293,9 +293,9 @@
 
 /// All of the outside.
 #[derive(Clone)]
-pub struct Outside {
+pub struct Platform {
     /// How callers and replicas speak.
-    pub dialect: Rc<dyn Dialect>,
+    pub wire: Rc<dyn WireFormat>,
     /// Where records are written.
     pub registry: Rc<dyn Registry>,
     /// Where usage is reported and replicas are ordered; none where nobody asks.
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -23,7 +23,7 @@
     /// Processes that may know the others.
     pub seeds: Vec<SocketAddr>,
     /// Whether the whole system starts for the first time.
-    pub first_start: bool,
+    pub may_bootstrap: bool,
     /// Machines with a disk whose loss at one time must be borne.
     pub tolerated_losses: usize,
     /// Zones whose loss at one time must be borne.
--- a/crates/cluster/src/source.rs
+++ b/crates/cluster/src/source.rs
@@ -1,7 +1,7 @@
 //! Whether the fleet's source answers, and when it is called again: decisions, which is why
 //! they stand here and not in the adapter that calls it.
 
-use crate::outside::Observed;
+use crate::platform::Observed;
 use std::cell::Cell;
 use std::fmt::Debug;
 use std::rc::Rc;
--- a/crates/cluster/src/storage/evacuation.rs
+++ b/crates/cluster/src/storage/evacuation.rs
@@ -10,7 +10,7 @@
     /// holds at present was heard just now; a watch that ended holds nothing.
     pub(super) fn renew_evacuated(&mut self) {
         let had = self.view.forget_evacuated();
-        let watched = self.outside.observed.borrow().view.evacuated_part();
+        let watched = self.platform.observed.borrow().view.evacuated_part();
         self.view.merge(&watched);
         if self.settings.process.evacuates {
             log::info!(
--- a/crates/cluster/src/storage/group.rs
+++ b/crates/cluster/src/storage/group.rs
@@ -7,7 +7,7 @@
 use super::standbys::{Waiting, standbys};
 use crate::clock::Moment;
 use crate::link::{LinkId, dial};
-use crate::outside::{GroupRecord, Registry, RegistryError};
+use crate::platform::{GroupRecord, Registry, RegistryError};
 use brasspond_cluster_protocol::{Message, Peer, Watch};
 use brasspond_consensus::{Member, MemberId};
 use std::collections::{BTreeSet, HashMap};
@@ -222,7 +222,7 @@
         }
         self.group.search.searched(now);
         self.group.registry_busy = true;
-        let registry = Rc::clone(&self.outside.registry);
+        let registry = Rc::clone(&self.platform.registry);
         let local = self.local.clone();
         tokio::task::spawn_local(async move {
             let begun = Moment::now();
@@ -289,7 +289,7 @@
                     self.learn_members(&record.members);
                 }
             }
-            None if self.settings.process.first_start && self.consensus.last_index() == 0 => {
+            None if self.settings.process.may_bootstrap && self.consensus.last_index() == 0 => {
                 self.create_record(took);
             }
             None => {}
@@ -308,7 +308,7 @@
         };
         log::info!("event=record_missing read_ms={read_ms} pause_ms={pause_ms}");
         self.group.registry_busy = true;
-        let registry = Rc::clone(&self.outside.registry);
+        let registry = Rc::clone(&self.platform.registry);
         let local = self.local.clone();
         let own = self.own.clone();
         tokio::task::spawn_local(async move {
@@ -508,7 +508,7 @@
     fn report_retirement(&mut self, machine: String, completed: bool) {
         log::info!("event=retirement_reported machine={machine} completed={completed}");
         self.group.registry_busy = true;
-        let registry = Rc::clone(&self.outside.registry);
+        let registry = Rc::clone(&self.platform.registry);
         let local = self.local.clone();
         tokio::task::spawn_local(async move {
             let reported = registry.report_retirement(machine.clone(), completed).await;
@@ -522,7 +522,7 @@
 
     fn write_record(&mut self, members: Vec<Member>) {
         self.group.registry_busy = true;
-        let registry = Rc::clone(&self.outside.registry);
+        let registry = Rc::clone(&self.platform.registry);
         let local = self.local.clone();
         tokio::task::spawn_local(async move {
             let event = match replace_record(&*registry, &members).await {
--- a/crates/cluster/src/storage/leading.rs
+++ b/crates/cluster/src/storage/leading.rs
@@ -6,7 +6,7 @@
 use super::process::Storage;
 use crate::evacuation::Evacuations;
 use crate::link::LinkId;
-use crate::outside::{Interest, VersionOrder};
+use crate::platform::{Interest, VersionOrder};
 use brasspond_autoscaling::Autoscaler;
 use brasspond_cluster_protocol::{Kind, Message, Peer, Registration};
 use brasspond_compression::always_packing;
@@ -107,14 +107,14 @@
     link: LinkId,
     /// Which start of its process told them.
     incarnation: u64,
-    /// Its telling of its runs that this leader goes by.
-    telling: u64,
+    /// Its registration of its runs that this leader goes by.
+    registration: u64,
 }
 
 impl Registered {
-    /// Whether it is a later telling of the same process.
+    /// Whether it is a later registration of the same process.
     fn is_newer_than(&self, told: &Self) -> bool {
-        self.incarnation == told.incarnation && self.telling > told.telling
+        self.incarnation == told.incarnation && self.registration > told.registration
     }
 }
 
@@ -153,7 +153,7 @@
             if self.leading.take().is_some() {
                 log::info!("event=leadership_lost term={}", self.consensus.term());
                 self.metrics.warming_replicas(0);
-                self.outside.interest.send_replace(Interest::NONE);
+                self.platform.interest.send_replace(Interest::NONE);
             }
             self.seek_group(now);
             return;
@@ -227,7 +227,7 @@
         let dispatcher = Dispatcher::new(term, settings, &self.table, view, leases.clone(), now);
         self.metrics.leadership();
         self.has_untold_edges = true;
-        self.outside.interest.send_replace(Interest::ALL);
+        self.platform.interest.send_replace(Interest::ALL);
         self.leading = Some(Leading {
             dispatcher,
             term,
@@ -269,7 +269,7 @@
             return;
         };
         let is_sure = self.consensus.has_quorum_contact(READ_LEASE, now);
-        leading.dispatcher.set_surely_leads(is_sure, now);
+        leading.dispatcher.set_confirmed_leader(is_sure, now);
         let actions = leading.dispatcher.handle(event, &self.table, now);
         for action in actions {
             self.carry_out(action);
@@ -279,7 +279,7 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Run { machine, spec } => {
-                self.send_to_edge(&machine, |telling| Message::Run { telling, spec });
+                self.send_to_edge(&machine, |registration| Message::Run { registration, spec });
             }
             Action::Cancel { machine, attempt } => {
                 let term = self.consensus.term();
@@ -289,7 +289,10 @@
                 self.send_to_edge(&machine, |_| Message::Recorded { attempt });
             }
             Action::Score { machine, spec } => {
-                self.send_to_edge(&machine, |telling| Message::Score { telling, spec });
+                self.send_to_edge(&machine, |registration| Message::Score {
+                    registration,
+                    spec,
+                });
             }
             Action::List(listing) => {
                 if let Some(leading) = &mut self.leading {
@@ -323,7 +326,7 @@
                 address,
                 model,
                 version,
-                expected_count,
+                expected_orders,
                 runs_finish,
             } => {
                 let order = VersionOrder {
@@ -331,7 +334,7 @@
                     version,
                     holder: self.own.machine.clone(),
                     fence: self.consensus.term(),
-                    expected_count,
+                    expected_orders,
                     runs_finish,
                     replica,
                     address,
@@ -341,7 +344,7 @@
         }
     }
 
-    /// Sends an edge a message, made with the number of the telling of its runs that this leader
+    /// Sends an edge a message, made with the number of the registration of its runs that this leader
     /// goes by. An edge that cannot be sent
     /// something is given up: what ends a run is not sent twice, and leave to begin work says
     /// that all before it has arrived.
@@ -353,7 +356,7 @@
             // Its runs are asked for before it is sent anything again.
             return;
         };
-        let message = message(known.telling);
+        let message = message(known.registration);
         let state = self.links.get(&known.link);
         let reason = match state.map(|state| state.writer.send(&message)) {
             Some(true) => return,
@@ -383,7 +386,7 @@
         let clock = leading.dispatcher.edge_clock(machine, now);
         let until = clock.filter(|_| is_sure);
         Some(Registration {
-            telling: known.telling,
+            number: known.registration,
             until: until.map(|clock| clock + work_lease(self.settings.cancel_ms)),
         })
     }
@@ -413,7 +416,7 @@
         match message {
             Message::Runs {
                 term,
-                telling,
+                registration,
                 uptime,
                 runs,
                 draining,
@@ -421,7 +424,7 @@
                 let told = Registered {
                     link,
                     incarnation,
-                    telling,
+                    registration,
                 };
                 let known = leading.edges.get(&machine);
                 if known.is_some_and(|known| known.is_newer_than(&told)) {
@@ -432,7 +435,7 @@
                 leading.lost.remove(&machine);
                 leading.unreached.remove(&machine);
                 log::info!(
-                    "event=edge_up machine={machine} telling={telling} runs={} draining={draining}",
+                    "event=edge_up machine={machine} telling={registration} runs={} draining={draining}",
                     runs.len()
                 );
                 self.dispatch(Event::EdgeUp {
--- a/crates/cluster/src/storage/ordering.rs
+++ b/crates/cluster/src/storage/ordering.rs
@@ -1,7 +1,7 @@
 //! Orders to replicas: asked for, announced in the log, given.
 
 use super::process::{Local, Storage};
-use crate::outside::{Dialect, VersionOrder};
+use crate::platform::{VersionOrder, WireFormat};
 use crate::upstream::{Pool, UpstreamError};
 use brasspond_autoscaling::ScaleOrder;
 use brasspond_consensus::READ_LEASE;
@@ -48,16 +48,16 @@
 
 impl Storage {
     pub(super) fn ask_report(&mut self, replica: String, address: SocketAddr) {
-        let dialect = Rc::clone(&self.outside.dialect);
+        let wire = Rc::clone(&self.platform.wire);
         let pool = self.pool.clone();
         let local = self.local.clone();
         let term = self.consensus.term();
         tokio::task::spawn_local(async move {
             let request = Request::builder()
                 .method(Method::GET)
-                .uri(dialect.report_path())
+                .uri(wire.report_path())
                 .header(hyper::header::HOST, address.to_string())
-                .header(&dialect.names().expect_instance, &replica)
+                .header(&wire.names().required_replica, &replica)
                 .body(Full::new(Bytes::new()));
             let report = match request {
                 // An answer too many on a kept connection is an older report, which only
@@ -67,7 +67,7 @@
             };
             let report = report
                 .filter(|(status, _, _)| status.is_success())
-                .and_then(|(_, _, body)| dialect.report(&body));
+                .and_then(|(_, _, body)| wire.report(&body));
             let event = Event::Report { replica, report };
             local.send(Local::Dispatch(term, event)).await;
         });
@@ -140,8 +140,8 @@
     }
 
     /// Sends an order, if this process surely leads; it was announced at a moment in ms.
-    fn give_order(&mut self, order: VersionOrder, surely_leads: bool, announced_at: u64) {
-        let dialect = Rc::clone(&self.outside.dialect);
+    fn give_order(&mut self, order: VersionOrder, is_confirmed_leader: bool, announced_at: u64) {
+        let wire = Rc::clone(&self.platform.wire);
         let pool = self.pool.clone();
         let local = self.local.clone();
         let term = self.consensus.term();
@@ -150,16 +150,16 @@
         // leaves later than its announcement allows may follow another's.
         let is_fresh = move || clock.now() < announced_at + ANNOUNCED_FOR;
         log::info!(
-            "event=order_given replica={} model={} version={} fence={} expected_count={} sent={surely_leads}",
+            "event=order_given replica={} model={} version={} fence={} expected_orders={} sent={is_confirmed_leader}",
             order.replica.id,
             order.model,
             order.version,
             order.fence,
-            order.expected_count
+            order.expected_orders
         );
         tokio::task::spawn_local(async move {
-            let answer = if surely_leads {
-                send_order(&pool, &*dialect, &order, is_fresh).await
+            let answer = if is_confirmed_leader {
+                send_order(&pool, &*wire, &order, is_fresh).await
             } else {
                 OrderAnswer::NotSent
             };
@@ -173,24 +173,24 @@
 /// Sends an order on a connection of its own: whether it was done must be known.
 async fn send_order(
     pool: &Pool,
-    dialect: &dyn Dialect,
+    wire: &dyn WireFormat,
     order: &VersionOrder,
     is_fresh: impl FnOnce() -> bool,
 ) -> OrderAnswer {
-    let (path, body) = dialect.order(order);
+    let (path, body) = wire.order(order);
     let request = Request::builder()
         .method(Method::POST)
         .uri(path)
         .header(hyper::header::HOST, order.address.to_string())
         .header(hyper::header::CONTENT_TYPE, "application/json")
-        .header(&dialect.names().expect_instance, &*order.replica.id)
+        .header(&wire.names().required_replica, &*order.replica.id)
         .body(Full::new(body));
     let Ok(request) = request else {
         return OrderAnswer::NotSent;
     };
     let call = pool.call_anew_if(is_fresh, order.address, request, REPLICA_ANSWER);
     match call.await {
-        Ok((status, _, _)) => dialect.order_answer(status),
+        Ok((status, _, _)) => wire.order_answer(status),
         Err(UpstreamError::NotSent) => OrderAnswer::NotSent,
         Err(UpstreamError::Broken) => OrderAnswer::Unknown,
     }
--- a/crates/cluster/src/storage/process.rs
+++ b/crates/cluster/src/storage/process.rs
@@ -9,7 +9,7 @@
 use super::texts::EndedJobs;
 use crate::clock::{Clock, Moment};
 use crate::link::{LinkContext, LinkEvent, LinkId, TRAFFIC_PAUSE, Writer, accept_links};
-use crate::outside::{Interest, OperationsAnswer, Outside};
+use crate::platform::{Interest, OperationsAnswer, Platform};
 use crate::settings::StorageSettings;
 use crate::upstream::Pool;
 use brasspond_autoscaling::ScaleOrder;
@@ -79,7 +79,7 @@
     /// Replicas were ordered in this term.
     ReplicasOrdered(u64, ScaleOrder, OperationsAnswer),
     /// What the group's record says, and how long reading it took.
-    Record(Option<crate::outside::GroupRecord>, Duration),
+    Record(Option<crate::platform::GroupRecord>, Duration),
     /// The group's record was made.
     RecordMade,
     /// The group's record is as this leader wants it.
@@ -121,7 +121,7 @@
     pub settings: StorageSettings,
     pub own: Member,
     pub clock: Clock,
-    pub outside: Outside,
+    pub platform: Platform,
     pub consensus: Consensus,
     pub table: JobTable,
     pub view: FleetView,
@@ -171,7 +171,7 @@
 /// See [`ProcessError`].
 pub async fn run(
     settings: StorageSettings,
-    outside: Outside,
+    platform: Platform,
     log_ring: Option<LogRing>,
 ) -> Result<(), ProcessError> {
     let opened = RecordLog::open(&settings.folder, rand::random()).map_err(ProcessError::Disk)?;
@@ -181,8 +181,8 @@
     let (local, mut local_events) = mpsc::channel(EVENT_QUEUE);
     let mut terminate = signal(SignalKind::terminate()).map_err(ProcessError::Listen)?;
     let mut hang_up = signal(SignalKind::hangup()).map_err(ProcessError::Listen)?;
-    let mut observed = outside.observed.clone();
-    let mut storage = Storage::new(settings, outside, opened.log, opened.id, opened.kept)?;
+    let mut observed = platform.observed.clone();
+    let mut storage = Storage::new(settings, platform, opened.log, opened.id, opened.kept)?;
     let accepting = accept_links(listener, Rc::clone(&storage.context), events.clone());
     tokio::task::spawn_local(accepting);
     storage.events = events;
@@ -234,7 +234,7 @@
 impl Storage {
     fn new(
         settings: StorageSettings,
-        outside: Outside,
+        platform: Platform,
         disk: RecordLog,
         id: MemberId,
         kept: Persisted,
@@ -271,12 +271,12 @@
         let (local, _) = mpsc::channel(1);
         let ended_jobs = EndedJobs::of(&table);
         let evacuates = settings.process.evacuates;
-        let search = RecordSearch::new(settings.process.first_start, rand::random(), now);
+        let search = RecordSearch::new(settings.process.may_bootstrap, rand::random(), now);
         Ok(Self {
             settings,
             own,
             clock,
-            outside,
+            platform,
             consensus,
             table,
             view: FleetView::unknown(evacuates),
@@ -309,7 +309,7 @@
     }
 
     fn begin(&mut self) {
-        self.outside.interest.send_replace(Interest::NONE);
+        self.platform.interest.send_replace(Interest::NONE);
         self.take_remembered();
         self.dial_members();
     }
@@ -561,7 +561,7 @@
         let metrics = Rc::clone(&self.metrics);
         let state = Rc::clone(&self.state);
         let context = Rc::clone(&self.context);
-        let observed = self.outside.observed.clone();
+        let observed = self.platform.observed.clone();
         let text = move || {
             let mut state = state.get();
             state.log_lines_dropped = log_ring.as_ref().map_or(0, LogRing::dropped);
--- a/crates/cluster/src/storage/quarantine.rs
+++ b/crates/cluster/src/storage/quarantine.rs
@@ -4,7 +4,7 @@
 use super::process::Storage;
 use brasspond_cluster_protocol::{Kind, Message, Peer, encode};
 use brasspond_jobs::Command;
-use brasspond_quarantine::{Case, Change, EndReport, Fingerprint, Ledger, Told};
+use brasspond_quarantine::{Case, CasesUpdate, Change, EndReport, Fingerprint, Ledger};
 
 impl Storage {
     /// An edge saw replicas end.
@@ -61,7 +61,7 @@
             log::info!(
                 "event=content_known content={content} ends={} held={}",
                 case.map_or(0, Case::ends),
-                case.is_some_and(Case::is_held)
+                case.is_some_and(Case::is_quarantined)
             );
             leading.untold_contents.insert(content);
         }
@@ -80,7 +80,7 @@
         let changed = std::mem::take(&mut leading.untold_contents);
         let changed = changed_cases(changed, ledger);
         let has_changes = !changed.is_empty();
-        let changed = encode(&Message::Quarantine(Told {
+        let changed = encode(&Message::Quarantine(CasesUpdate {
             is_whole: false,
             cases: changed,
         }));
@@ -116,9 +116,9 @@
         .collect()
 }
 
-fn whole_list(ledger: &Ledger) -> Told {
+fn whole_list(ledger: &Ledger) -> CasesUpdate {
     let watched = ledger.cases().filter(|(_, case)| case.is_watched());
-    Told {
+    CasesUpdate {
         is_whole: true,
         cases: watched
             .map(|(content, case)| (content, Some(case.clone())))
--- a/crates/cluster/src/storage/scaling.rs
+++ b/crates/cluster/src/storage/scaling.rs
@@ -2,7 +2,7 @@
 
 use super::ordering::Announced;
 use super::process::{Local, Storage};
-use crate::outside::{Holder, OperationsAnswer};
+use crate::platform::{Holder, OperationsAnswer};
 use brasspond_autoscaling::{ScaleAnswer, ScaleOrder};
 
 /// Pause between two looks at how many replicas there are to be, in ms.
@@ -16,7 +16,7 @@
 impl Storage {
     /// Lets the autoscaler decide what is due.
     pub(super) fn tend_replicas(&mut self, now: u64) {
-        if self.outside.operations.is_none() || !self.settings.scales {
+        if self.platform.operations.is_none() || !self.settings.scales {
             return;
         }
         let Some(leading) = &mut self.leading else {
@@ -50,10 +50,15 @@
     }
 
     /// Orders replicas, if this process surely leads.
-    pub(super) fn order_replicas(&mut self, order: ScaleOrder, surely_leads: bool) {
+    pub(super) fn order_replicas(&mut self, order: ScaleOrder, is_confirmed_leader: bool) {
         let term = self.consensus.term();
         let begun = self.clock.now();
-        let Some(operations) = self.outside.operations.clone().filter(|_| surely_leads) else {
+        let Some(operations) = self
+            .platform
+            .operations
+            .clone()
+            .filter(|_| is_confirmed_leader)
+        else {
             self.replicas_ordered(&order, OperationsAnswer::Refused);
             return;
         };
--- a/crates/cluster/src/storage/search.rs
+++ b/crates/cluster/src/storage/search.rs
@@ -45,8 +45,8 @@
 
 impl RecordSearch {
     /// For a process that starts; `place` is drawn from 0 to 1.
-    pub fn new(first_start: bool, place: f64, now: u64) -> Self {
-        let spread = if first_start {
+    pub fn new(may_bootstrap: bool, place: f64, now: u64) -> Self {
+        let spread = if may_bootstrap {
             FIRST_SPREAD
         } else {
             START_SPREAD
--- a/crates/cluster/src/storage/usage.rs
+++ b/crates/cluster/src/storage/usage.rs
@@ -3,7 +3,7 @@
 
 use super::ordering::{Announced, USAGE_SUBJECT};
 use super::process::{Local, Storage};
-use crate::outside::{Holder, OperationsAnswer};
+use crate::platform::{Holder, OperationsAnswer};
 use brasspond_jobs::Command;
 use brasspond_metering::{Counts, MeterAction, SendAnswer, WindowNumber};
 
@@ -34,10 +34,20 @@
     }
 
     /// Sends the report of a window, if this process surely leads.
-    pub(super) fn send_usage(&mut self, window: WindowNumber, counts: Counts, surely_leads: bool) {
+    pub(super) fn send_usage(
+        &mut self,
+        window: WindowNumber,
+        counts: Counts,
+        is_confirmed_leader: bool,
+    ) {
         let term = self.consensus.term();
         let begun = self.clock.now();
-        let Some(operations) = self.outside.operations.clone().filter(|_| surely_leads) else {
+        let Some(operations) = self
+            .platform
+            .operations
+            .clone()
+            .filter(|_| is_confirmed_leader)
+        else {
             self.usage_sent(window, OperationsAnswer::Refused, begun);
             return;
         };
--- a/crates/cluster/src/storage/warming.rs
+++ b/crates/cluster/src/storage/warming.rs
@@ -14,7 +14,7 @@
         let now = self.clock.now();
         let is_sure = self.consensus.has_quorum_contact(READ_LEASE, now);
         let leading = self.leading.as_mut()?;
-        leading.dispatcher.set_surely_leads(is_sure, now);
+        leading.dispatcher.set_confirmed_leader(is_sure, now);
         leading.dispatcher.grant(ask, now)
     }
 
--- a/crates/cluster/tests/unit/record.rs
+++ b/crates/cluster/tests/unit/record.rs
@@ -1,7 +1,7 @@
 //! The record of the group, whatever stands there.
 
 use super::replace_record;
-use crate::outside::{GroupRecord, Registry, RegistryError};
+use crate::platform::{GroupRecord, Registry, RegistryError};
 use brasspond_consensus::Member;
 use futures::FutureExt;
 use futures::future::{LocalBoxFuture, ready};
--- a/crates/consensus/src/currency.rs
+++ b/crates/consensus/src/currency.rs
@@ -5,7 +5,7 @@
 //! when it was told; it may answer reads whose answers never change, such as
 //! results at their positions, for as long after that as its readers allow.
 
-use crate::node::Millis;
+use brasspond_units::Millis;
 
 /// Longest time between two words of a leader, in ms, after which what arrives
 /// next may be old: this process or its link stood still.
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,8 +1,9 @@
 //! Elections: probes, votes, the end of a leadership.
 
 use crate::message::{MemberId, Message, Payload};
-use crate::node::{Consensus, Millis, Role};
+use crate::node::{Consensus, Role};
 use crate::replication::Progress;
+use brasspond_units::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Longest extra wait, in ms, of a member that saw its leader's process end.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -23,5 +23,5 @@
 pub use crate::log::Log;
 pub use membership::MembershipError;
 pub use message::{Entry, HardState, Member, MemberId, Message, Payload, Snapshot};
-pub use node::{Consensus, Millis, Persisted, Ready, Role, Timing};
+pub use node::{Consensus, Persisted, Ready, Role, Timing};
 pub use replication::READ_LEASE;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,8 +1,9 @@
 //! Changes of membership, one member at a time.
 
 use crate::message::{Member, MemberId, Payload};
-use crate::node::{Consensus, Millis, Role};
+use crate::node::{Consensus, Role};
 use crate::replication::Progress;
+use brasspond_units::Millis;
 
 /// Why a change of membership is not made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -5,14 +5,12 @@
 use crate::log::Log;
 use crate::message::{Entry, HardState, Member, MemberId, Message, Payload, Snapshot};
 use crate::replication::{Appended, Progress, ReplyTimes};
+use brasspond_units::Millis;
 use bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds of a steady clock.
-pub type Millis = u64;
-
 /// Periods of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -2,7 +2,8 @@
 
 use crate::log::Log;
 use crate::message::{Entry, MemberId, Message, Snapshot};
-use crate::node::{Consensus, Millis, Role};
+use crate::node::{Consensus, Role};
+use brasspond_units::Millis;
 
 /// A leader is sure that it leads while a quorum answered it within this time, in
 /// ms. Shorter than the shortest silence after which another may lead.
--- a/crates/dispatch/examples/fleet_cost.rs
+++ b/crates/dispatch/examples/fleet_cost.rs
@@ -125,7 +125,7 @@
         notice_ms: None,
         region: None,
         warming_ms: 0,
-        life: brasspond_fleet::Life::UNTOLD,
+        life: brasspond_fleet::Life::UNKNOWN,
     }
 }
 
@@ -375,7 +375,7 @@
                         .iter()
                         .any(|(_, loading, ..)| *loading == replica),
                     sequence: *sequence,
-                    life: brasspond_fleet::Life::UNTOLD,
+                    life: brasspond_fleet::Life::UNKNOWN,
                 };
                 let report = Some(report);
                 self.handle("report", Event::Report { replica, report });
--- a/crates/dispatch/src/demand.rs
+++ b/crates/dispatch/src/demand.rs
@@ -5,7 +5,7 @@
 //! or its last items begin late and its step ends late. A model's part of `n`
 //! replicas is `n x demand / total demand`, at least one.
 
-use crate::dispatcher::Millis;
+use brasspond_units::Millis;
 use std::collections::BTreeMap;
 
 /// Time after which demand counts for a third of what it was, in ms. Many jobs
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -12,14 +12,12 @@
 };
 use brasspond_fleet::{FleetView, Identity};
 use brasspond_jobs::{Draft, Job, JobTable, Listing, Piece, Score};
+use brasspond_units::Millis;
 use brasspond_warmup::PeerClock;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Milliseconds of a steady clock.
-pub type Millis = u64;
-
 /// Periods and limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
@@ -226,7 +224,7 @@
         /// The version.
         version: u64,
         /// Orders the replica must have taken so far.
-        expected_count: u64,
+        expected_orders: u64,
         /// Runs end under their version before the replica loads; else they go
         /// on under the new one.
         runs_finish: bool,
--- a/crates/dispatch/src/jobs.rs
+++ b/crates/dispatch/src/jobs.rs
@@ -1,10 +1,11 @@
 //! Items that wait, run and are done, by job.
 
-use crate::dispatcher::{Action, Millis};
+use crate::dispatcher::Action;
 use crate::residency::regions_of_bodies;
 use brasspond_cluster_protocol::{AttemptId, StreamEvent};
 use brasspond_fleet::{Configuration, FleetView, Regions, Route, Target, choose_target};
 use brasspond_jobs::{Draft, Item, Job, JobTable, Part};
+use brasspond_units::Millis;
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -23,6 +23,6 @@
 mod warming;
 mod withheld;
 
-pub use dispatcher::{Action, Dispatcher, Event, Load, Millis, OrderLeases, Settings};
+pub use dispatcher::{Action, Dispatcher, Event, Load, OrderLeases, Settings};
 pub use orders::{OrderAnswer, ReplicaReport};
 pub use warming::{GrantCounts, PermitAsk};
--- a/crates/dispatch/src/loads.rs
+++ b/crates/dispatch/src/loads.rs
@@ -7,7 +7,7 @@
 //! grows while loads take about the least time seen, and shrinks by a part once
 //! they take longer.
 
-use crate::dispatcher::Millis;
+use brasspond_units::Millis;
 
 /// A load takes long when it takes this many times the least, and [`GRAIN`].
 const SLOWED: f64 = 1.25;
--- a/crates/dispatch/src/moves.rs
+++ b/crates/dispatch/src/moves.rs
@@ -3,10 +3,11 @@
 //! A run goes on after its last event, so a move costs reading the text so far,
 //! which takes milliseconds.
 
-use crate::dispatcher::{Dispatcher, Millis};
+use crate::dispatcher::Dispatcher;
 use crate::replicas::{Need, Replica};
 use crate::runs::{Run, exact_version};
 use brasspond_cluster_protocol::AttemptId;
+use brasspond_units::Millis;
 use std::collections::{BTreeMap, HashMap};
 
 /// Events of a run after which it is worth moving.
--- a/crates/dispatch/src/orders.rs
+++ b/crates/dispatch/src/orders.rs
@@ -7,10 +7,11 @@
 //! a replica about to load go on elsewhere.
 
 use crate::demand::Demand;
-use crate::dispatcher::{Action, Dispatcher, Millis, OrderLeases};
+use crate::dispatcher::{Action, Dispatcher, OrderLeases};
 use crate::loads::LoadLimit;
 use crate::replicas::Replica;
-use brasspond_fleet::{FleetView, Heard, Identity, Life};
+use brasspond_fleet::{FleetView, Identity, Life, LifeChange};
+use brasspond_units::Millis;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
@@ -537,7 +538,7 @@
                 address: known.standing.address,
                 model: load.model.clone(),
                 version: load.version,
-                expected_count: sequence,
+                expected_orders: sequence,
                 runs_finish: self.runs_finish_first(replica),
             });
         }
@@ -581,9 +582,9 @@
     ) -> Option<ReplicaReport> {
         let report = report?;
         match self.replicas.lives.hear(id, report.life, now) {
-            Heard::Same | Heard::First => {}
-            Heard::Older => return None,
-            Heard::Reborn { .. } => {
+            LifeChange::Same | LifeChange::First => {}
+            LifeChange::Older => return None,
+            LifeChange::Reborn { .. } => {
                 self.begin_life(id, now);
                 self.replicas.set_versions(id, &report.versions);
                 self.replicas.assume_warming(id, &self.view, now);
--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -10,10 +10,10 @@
 //! cost = time of an event alone x (1 + slope x fill) [x (1 + OTHER_MODEL_COST)]
 //! ```
 
-use crate::dispatcher::Millis;
 use crate::orders::Orders;
 use crate::replicas::{Need, Replica, Replicas};
 use brasspond_fleet::Regions;
+use brasspond_units::Millis;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
--- a/crates/dispatch/src/rebirth.rs
+++ b/crates/dispatch/src/rebirth.rs
@@ -5,10 +5,11 @@
 //! connections at rest, runs). The latter is void as soon as a newer life is heard of, from
 //! its entry or its report, whichever comes first.
 
-use crate::dispatcher::{Action, Dispatcher, Millis};
+use crate::dispatcher::{Action, Dispatcher};
 use crate::replicas::{Replica, Replicas};
 use brasspond_cluster_protocol::AttemptId;
-use brasspond_fleet::{FleetView, Heard, Identity};
+use brasspond_fleet::{FleetView, Identity, LifeChange};
+use brasspond_units::Millis;
 use std::sync::Arc;
 
 impl Replica {
@@ -52,7 +53,7 @@
         let mut reborn = Vec::new();
         for (id, info) in entries.iter() {
             let heard = lives.hear_entry(id, info.life, info.revision, now);
-            if matches!(heard, Heard::Reborn { .. }) {
+            if matches!(heard, LifeChange::Reborn { .. }) {
                 reborn.push(id);
             }
         }
@@ -65,7 +66,7 @@
     /// A lower life counts after [`brasspond_fleet::SET_BACK_MS`] also where no entry changes
     /// meanwhile.
     pub(crate) fn settle_lives(&mut self, now: Millis) {
-        if self.replicas.lives.is_in_doubt() && self.hear_entries(now) {
+        if self.replicas.lives.is_uncertain() && self.hear_entries(now) {
             self.replicas.take_view(&self.view, now);
             self.placement.forget();
         }
--- a/crates/dispatch/src/replicas.rs
+++ b/crates/dispatch/src/replicas.rs
@@ -1,10 +1,10 @@
 //! What is known of each replica: its load, its speed, its faults.
 
-use crate::dispatcher::Millis;
 use crate::load_cost::{LoadCost, Means};
 use crate::warming::Warming;
 use brasspond_eligibility::{Standing, Weights, Work};
 use brasspond_fleet::{FleetView, Lives, Regions};
+use brasspond_units::Millis;
 use brasspond_warmup::Budget;
 use std::collections::{BTreeMap, HashMap};
 
@@ -80,7 +80,7 @@
                 least: self.min_version,
                 exact: self.exact,
             }),
-            is_held: false,
+            is_quarantined: false,
             now,
             permit: None,
         }
--- a/crates/dispatch/src/runs.rs
+++ b/crates/dispatch/src/runs.rs
@@ -1,6 +1,6 @@
 //! Runs: begun, told of, ended, moved.
 
-use crate::dispatcher::{Action, Dispatcher, Edge, Millis};
+use crate::dispatcher::{Action, Dispatcher, Edge};
 use crate::jobs::{JobRun, State, draft_of};
 use crate::placement::Sight;
 use crate::replicas::Need;
@@ -8,6 +8,7 @@
 use brasspond_distance::{Distance, Place};
 use brasspond_fleet::{Life, Regions};
 use brasspond_jobs::{JobTable, Listing, Outcome, Part, Piece};
+use brasspond_units::Millis;
 use std::collections::{BTreeMap, HashMap};
 
 /// Runs started at a time: a few ms of work, so that a leader with thousands of items
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -6,13 +6,14 @@
 //! A score counts only from the edge that is expected to tell it, so a text has
 //! one; and every call to be counted was made after the text was whole.
 
-use crate::dispatcher::{Action, Dispatcher, Millis};
+use crate::dispatcher::{Action, Dispatcher};
 use crate::jobs::{State, draft_of};
 use crate::runs::Run;
 use crate::withheld::SCORING_PAUSE;
 use brasspond_cluster_protocol::{AttemptId, RunReport, ScoringEnd, ScoringSpec};
 use brasspond_fleet::FleetView;
 use brasspond_jobs::{JobTable, Score, ScoringCall};
+use brasspond_units::Millis;
 use std::collections::BTreeMap;
 
 /// Time beyond that of a call for an edge to tell its score before another edge is ordered,
--- a/crates/dispatch/src/takeover.rs
+++ b/crates/dispatch/src/takeover.rs
@@ -1,9 +1,10 @@
 //! Runs that edges hold when they come, come back or are lost.
 
-use crate::dispatcher::{Action, Dispatcher, Millis};
+use crate::dispatcher::{Action, Dispatcher};
 use crate::jobs::State;
 use crate::runs::Run;
 use brasspond_cluster_protocol::{AttemptId, RunEnd, RunReport, ScoringEnd, StreamEvent};
+use brasspond_units::Millis;
 
 /// How many events two streams begin with alike.
 fn common_prefix(one: &[StreamEvent], other: &[StreamEvent]) -> usize {
--- a/crates/dispatch/src/warming.rs
+++ b/crates/dispatch/src/warming.rs
@@ -6,11 +6,12 @@
 //! process surely leads, which two processes never do at one moment; what the leader before
 //! granted is not known and counts as all that there was.
 
-use crate::dispatcher::{Dispatcher, Edge, Millis};
+use crate::dispatcher::{Dispatcher, Edge};
 use crate::replicas::{Replica, Replicas};
 use brasspond_cluster_protocol::{AttemptId, RunEnd};
 use brasspond_eligibility::Work;
 use brasspond_fleet::{FleetView, Regions};
+use brasspond_units::Millis;
 use brasspond_warmup::{Budget, LEADERS_OVERLAP, PERMIT_MS, Permit, Rate};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -219,7 +220,7 @@
     }
 
     /// Whether this process surely leads at present: to be told before each event.
-    pub fn set_surely_leads(&mut self, is_sure: bool, now: Millis) {
+    pub fn set_confirmed_leader(&mut self, is_sure: bool, now: Millis) {
         let warming = &mut self.replicas.warming;
         warming.is_sure = is_sure;
         if is_sure && warming.sure_since.is_none() {
@@ -267,7 +268,7 @@
             service: ask.service,
             regions: ask.regions,
             weights: None,
-            is_held: false,
+            is_quarantined: false,
             now,
             permit: None,
         };
@@ -335,7 +336,7 @@
             RunEnd::Unsent
                 | RunEnd::Unreachable
                 | RunEnd::NotRun {
-                    other_instance: true
+                    other_replica: true
                 }
         );
         let Some(granted) = granted.filter(|_| was_unused) else {
--- a/crates/dispatch/src/withheld.rs
+++ b/crates/dispatch/src/withheld.rs
@@ -6,10 +6,11 @@
 //! this stood, one such item among nine had all nine given up, as each of its runs ended the
 //! replica that ran the others too.
 
-use crate::dispatcher::{Dispatcher, Millis};
+use crate::dispatcher::Dispatcher;
 use crate::jobs::State;
 use brasspond_jobs::JobTable;
-use brasspond_quarantine::{Case, Fingerprint, HELD_AFTER, Ledger};
+use brasspond_quarantine::{Case, Fingerprint, Ledger, QUARANTINED_AFTER};
+use brasspond_units::Millis;
 
 /// Pause before a withheld item is run again, in ms. An item that no replica finished is
 /// to be at none for less than 5 s, as long as it is run at all.
@@ -21,7 +22,7 @@
 
 /// Whether an item of a held content may still be run.
 fn has_retries(case: &Case) -> bool {
-    case.ends() < HELD_AFTER + MOST_RETRIES
+    case.ends() < QUARANTINED_AFTER + MOST_RETRIES
 }
 
 impl Dispatcher {
@@ -34,7 +35,7 @@
             return false;
         };
         let case = table.quarantine().case(content);
-        let Some(case) = case.filter(|case| case.is_held()) else {
+        let Some(case) = case.filter(|case| case.is_quarantined()) else {
             return false;
         };
         let Some(job) = self.jobs.jobs.get_mut(id) else {
@@ -62,17 +63,18 @@
         for (id, job) in &self.jobs.jobs {
             for (item, from) in &job.withheld {
                 let content = item_content(id, *item, table);
-                let is_held = content.is_some_and(|content| table.quarantine().is_held(content));
+                let is_quarantined =
+                    content.is_some_and(|content| table.quarantine().is_quarantined(content));
                 let may_retry = now >= *from && may_retry(content, table.quarantine());
-                if !is_held || may_retry {
-                    retried.push((id.clone(), *item, is_held));
+                if !is_quarantined || may_retry {
+                    retried.push((id.clone(), *item, is_quarantined));
                 }
             }
         }
-        for (id, item, is_held) in retried {
+        for (id, item, is_quarantined) in retried {
             if let Some(job) = self.jobs.jobs.get_mut(&id) {
                 job.withheld.remove(&item);
-                job.items[item as usize].is_retry = is_held;
+                job.items[item as usize].is_retry = is_quarantined;
                 self.jobs.wait(&id, item);
             }
         }
@@ -85,7 +87,7 @@
         }
         let stored = table.job(id).and_then(|job| job.items.get(item as usize));
         let call = stored.and_then(|stored| stored.scoring.as_ref());
-        call.is_some_and(|call| table.quarantine().is_held(call.content()))
+        call.is_some_and(|call| table.quarantine().is_quarantined(call.content()))
     }
 }
 
--- a/crates/dispatch/tests/fuzzing.rs
+++ b/crates/dispatch/tests/fuzzing.rs
@@ -340,7 +340,7 @@
     assert!(!is_caught(None));
 }
 
-/// An order to score that was read before the edge heard that it was given up is in no telling.
+/// An order to score that was read before the edge heard that it was given up is in no registration.
 #[rstest]
 fn scorings_read_before_a_telling_end_with_their_job() {
     for seed in PLAYS_PAST_AN_END {
--- a/crates/eligibility/src/clearance.rs
+++ b/crates/eligibility/src/clearance.rs
@@ -1,6 +1,6 @@
 //! Leave to send one request to one replica.
 
-use brasspond_warmup::Millis;
+use brasspond_units::Millis;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/eligibility/src/standing.rs
+++ b/crates/eligibility/src/standing.rs
@@ -3,7 +3,8 @@
 use crate::clearance::Clearance;
 use crate::work::{Unfit, Work};
 use brasspond_fleet::{FleetView, ReplicaInfo};
-use brasspond_warmup::{Millis, Spell};
+use brasspond_units::Millis;
+use brasspond_warmup::Spell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -127,8 +128,8 @@
     /// # Errors
     /// Why it may not; the first reason in the order of [`Unfit`].
     pub fn takes(&self, work: &Work<'_>) -> Result<(), Unfit> {
-        if work.is_held {
-            return Err(Unfit::Held);
+        if work.is_quarantined {
+            return Err(Unfit::Quarantined);
         }
         if *self.service != *work.service || !self.is_named {
             return Err(Unfit::OtherService);
--- a/crates/eligibility/src/work.rs
+++ b/crates/eligibility/src/work.rs
@@ -1,7 +1,8 @@
 //! What a request asks of any replica, and why one does not take it.
 
 use brasspond_fleet::Regions;
-use brasspond_warmup::{Millis, Permit};
+use brasspond_units::Millis;
+use brasspond_warmup::Permit;
 
 /// What a request asks of any replica.
 #[derive(Clone, Copy, Debug)]
@@ -13,7 +14,7 @@
     /// Weights that may answer it; none: any.
     pub weights: Option<Weights<'a>>,
     /// Its content ended replicas, and is held.
-    pub is_held: bool,
+    pub is_quarantined: bool,
     /// The present moment, by the clock of the process that asks.
     pub now: Millis,
     /// The leader's leave to send it to a replica that warms up.
@@ -47,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Unfit {
     /// The content of the request is held.
-    Held,
+    Quarantined,
     /// It answers for another service.
     OtherService,
     /// The request's data may not be in its region.
@@ -68,7 +69,7 @@
     /// Name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Held => "held",
+            Self::Quarantined => "held",
             Self::OtherService => "other_service",
             Self::Draining => "draining",
             Self::ZoneUnknown => "zone_unknown",
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -17,7 +17,7 @@
 };
 pub use delta::{OtherBase, ViewDelta};
 pub use index::ConfigurationIndex;
-pub use life::{Heard, Identity, Life, Lives, SET_BACK_MS};
+pub use life::{Identity, Life, LifeChange, Lives, SET_BACK_MS};
 pub use region::Regions;
 pub use tenant::{Credential, Denial, KeyDigest, Tenant};
 pub use view::{FleetView, ReplicaInfo, Retirement, ServedModel};
--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -10,7 +10,7 @@
 
 /// One life of a replica, from a start to its end: the Unix time of the start in ms, as the
 /// replica tells it. Untold is lower than any told one; a word that tells none is taken as of the
-/// life that is known ([`Heard::Same`]).
+/// life that is known ([`LifeChange::Same`]).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,7 +18,7 @@
 
 impl Life {
     /// The replica does not tell its start.
-    pub const UNTOLD: Self = Self(None);
+    pub const UNKNOWN: Self = Self(None);
 
     /// A life that began at `born`, in Unix ms of the replica's clock.
     pub const fn told(born: u64) -> Self {
@@ -72,7 +72,7 @@
 
 /// What a word of a replica tells of its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum LifeChange {
     /// The life that is known, or none is told: nothing is told apart.
     Same,
     /// The replica was not known.
@@ -118,7 +118,7 @@
 impl Lives {
     /// The life that is known; untold where none is.
     pub fn of(&self, id: &str) -> Life {
-        self.known.get(id).map_or(Life::UNTOLD, |known| known.life)
+        self.known.get(id).map_or(Life::UNKNOWN, |known| known.life)
     }
 
     /// The replica in the life that is known.
@@ -135,7 +135,7 @@
     }
 
     /// A replica told its life itself, at `now` (ms of a steady clock).
-    pub fn hear(&mut self, id: &str, life: Life, now: u64) -> Heard {
+    pub fn hear(&mut self, id: &str, life: Life, now: u64) -> LifeChange {
         let Some(known) = self.known.get_mut(id) else {
             return self.meet(id, life, 0, now);
         };
@@ -143,7 +143,7 @@
     }
 
     /// Its entry, of this revision, tells a life.
-    pub fn hear_entry(&mut self, id: &str, life: Life, revision: u64, now: u64) -> Heard {
+    pub fn hear_entry(&mut self, id: &str, life: Life, revision: u64, now: u64) -> LifeChange {
         let Some(known) = self.known.get_mut(id) else {
             return self.meet(id, life, revision, now);
         };
@@ -157,7 +157,7 @@
         known.hear(life, word, now)
     }
 
-    fn meet(&mut self, id: &str, life: Life, revision: u64, now: u64) -> Heard {
+    fn meet(&mut self, id: &str, life: Life, revision: u64, now: u64) -> LifeChange {
         let known = Known {
             life,
             revision,
@@ -165,7 +165,7 @@
             listed_at: now,
         };
         self.known.insert(id.into(), known);
-        Heard::First
+        LifeChange::First
     }
 
     /// Whether what tells a life is not of an earlier one; what tells none may be of any.
@@ -174,7 +174,7 @@
     }
 
     /// Whether a lower life was heard that may yet be the present one.
-    pub fn is_in_doubt(&self) -> bool {
+    pub fn is_uncertain(&self) -> bool {
         self.known.values().any(|known| known.lower.is_some())
     }
 
@@ -190,20 +190,20 @@
 }
 
 impl Known {
-    fn hear(&mut self, life: Life, word: Word, now: u64) -> Heard {
+    fn hear(&mut self, life: Life, word: Word, now: u64) -> LifeChange {
         if !life.is_told() {
-            return Heard::Same;
+            return LifeChange::Same;
         }
         if life == self.life {
             self.confirm(word, now);
-            return Heard::Same;
+            return LifeChange::Same;
         }
         if life < self.life && !self.counts_lower(life, word, now) {
-            return Heard::Older;
+            return LifeChange::Older;
         }
         self.lower = None;
         let before = std::mem::replace(&mut self.life, life);
-        Heard::Reborn { before }
+        LifeChange::Reborn { before }
     }
 
     /// The known life was heard. Where its entry tells it, that is that; what the replica
--- a/crates/metering/src/clock.rs
+++ b/crates/metering/src/clock.rs
@@ -5,7 +5,7 @@
 //! every machine's time of day to its own steady clock and takes the median; edges
 //! relate what the leader tells to their steady clocks.
 
-use crate::{Millis, WallMillis};
+use brasspond_units::{Millis, WallMillis};
 use std::collections::{HashMap, VecDeque};
 
 /// Samples of one machine that are looked at: of these the greatest counts, which came
@@ -86,11 +86,11 @@
 
 /// True time at an edge, as the leader tells it.
 #[derive(Clone, Debug, Default)]
-pub struct ToldClock {
+pub struct LeaderClock {
     samples: Samples,
 }
 
-impl ToldClock {
+impl LeaderClock {
     /// The leader's true time arrived at `now` of the own steady clock.
     pub fn note(&mut self, told: WallMillis, now: Millis) {
         self.samples.note(offset(told, now), now);
--- a/crates/metering/src/lib.rs
+++ b/crates/metering/src/lib.rs
@@ -21,13 +21,8 @@
 mod recorder;
 mod window;
 
-pub use clock::{FleetClock, ToldClock};
+pub use clock::{FleetClock, LeaderClock};
 pub use ledger::{EdgeLife, UsageCommand, UsageLedger};
 pub use metering::{MeterAction, MeterSettings, Metering, SendAnswer};
 pub use recorder::{UsageRecorder, UsageReport};
 pub use window::{Counts, WindowNumber, Windows};
-
-/// Milliseconds of a steady clock.
-pub type Millis = u64;
-/// Milliseconds of true time since the start of 1970.
-pub type WallMillis = u64;
--- a/crates/metering/src/metering.rs
+++ b/crates/metering/src/metering.rs
@@ -4,7 +4,7 @@
 use crate::ledger::{EdgeLife, UsageCommand, UsageLedger};
 use crate::recorder::UsageReport;
 use crate::window::{Counts, WindowNumber, Windows};
-use crate::{Millis, WallMillis};
+use brasspond_units::{Millis, WallMillis};
 use std::collections::BTreeMap;
 
 /// Pause between two entries of the log with counts, in ms: what the loss of all
--- a/crates/metering/src/recorder.rs
+++ b/crates/metering/src/recorder.rs
@@ -1,7 +1,7 @@
 //! What an edge counts.
 
-use crate::WallMillis;
 use crate::window::{Counts, WindowNumber, Windows};
+use brasspond_units::WallMillis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/metering/src/window.rs
+++ b/crates/metering/src/window.rs
@@ -1,6 +1,6 @@
 //! Windows of true time.
 
-use crate::WallMillis;
+use brasspond_units::WallMillis;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -6,7 +6,7 @@
 
 /// Ends under a content after which it is held. One end may be anybody's doing, and a
 /// replica that ended takes all that it ran with it: two may strike a bystander's retry too.
-pub const HELD_AFTER: usize = 3;
+pub const QUARANTINED_AFTER: usize = 3;
 /// Ends from which edges are told of a content, so that an answer to it is noticed: a
 /// content that replicas answer does not end them.
 pub const WATCHED_AFTER: usize = 2;
@@ -40,7 +40,7 @@
     }
 
     /// Whether no replica is to run the content.
-    pub fn is_held(&self) -> bool {
+    pub fn is_quarantined(&self) -> bool {
         self.standing == Standing::Held
     }
 
@@ -60,14 +60,14 @@
         if !is_new {
             return;
         }
-        if self.standing == Standing::OnTrial || self.ends() >= HELD_AFTER {
+        if self.standing == Standing::OnTrial || self.ends() >= QUARANTINED_AFTER {
             self.standing = Standing::Held;
         }
     }
 
     /// The content may be sent on again.
     pub(crate) fn try_again(&mut self) {
-        if self.is_held() {
+        if self.is_quarantined() {
             self.standing = Standing::OnTrial;
         }
     }
--- a/crates/quarantine/src/keeper.rs
+++ b/crates/quarantine/src/keeper.rs
@@ -1,11 +1,11 @@
 //! What the leader decides: which reported ends count, when a held content is tried again,
 //! when a content is forgotten.
 
-use crate::Millis;
-use crate::case::HELD_AFTER;
+use crate::case::QUARANTINED_AFTER;
 use crate::fingerprint::Fingerprint;
 use crate::ledger::{Change, Ledger};
 use crate::recorder::EndReport;
+use brasspond_units::Millis;
 use std::collections::BTreeMap;
 
 /// Time for which a content is held at first, in ms; it doubles with each more end. Each
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     ends: usize,
-    is_held: bool,
+    is_quarantined: bool,
     since: Millis,
 }
 
@@ -82,17 +82,17 @@
         for (content, case) in ledger.cases() {
             let present = Seen {
                 ends: case.ends(),
-                is_held: case.is_held(),
+                is_quarantined: case.is_quarantined(),
                 since: now,
             };
             let seen = self.seen.entry(content).or_insert(present);
-            if seen.ends != present.ends || seen.is_held != present.is_held {
+            if seen.ends != present.ends || seen.is_quarantined != present.is_quarantined {
                 *seen = present;
             }
             let age = now.saturating_sub(seen.since);
-            if case.is_held() && age >= hold_time(case.ends()) {
+            if case.is_quarantined() && age >= hold_time(case.ends()) {
                 changes.push(Change::Try(content));
-            } else if !case.is_held() && age >= LIFE {
+            } else if !case.is_quarantined() && age >= LIFE {
                 changes.push(Change::Forget(content));
             }
         }
@@ -102,7 +102,7 @@
 
 /// Time for which a content is held under which so many replicas ended.
 fn hold_time(ends: usize) -> Millis {
-    let doublings = u32::try_from(ends.saturating_sub(HELD_AFTER)).unwrap_or(u32::MAX);
+    let doublings = u32::try_from(ends.saturating_sub(QUARANTINED_AFTER)).unwrap_or(u32::MAX);
     let factor = 1_u64.checked_shl(doublings).unwrap_or(u64::MAX);
     FIRST_HOLD.saturating_mul(factor).min(LONGEST_HOLD)
 }
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -64,7 +64,7 @@
                 }
             }
         }
-        if self.case(content).is_some_and(Case::is_held) {
+        if self.case(content).is_some_and(Case::is_quarantined) {
             self.held.insert(content);
         } else {
             self.held.remove(&content);
@@ -77,7 +77,7 @@
             let least = self
                 .cases
                 .iter()
-                .min_by_key(|(_, case)| (case.is_held(), case.ends()));
+                .min_by_key(|(_, case)| (case.is_quarantined(), case.ends()));
             let Some(content) = least.map(|(content, _)| *content) else {
                 return;
             };
@@ -102,7 +102,7 @@
     }
 
     /// Whether no replica is to run a content.
-    pub fn is_held(&self, content: Fingerprint) -> bool {
+    pub fn is_quarantined(&self, content: Fingerprint) -> bool {
         self.held.contains(&content)
     }
 
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -9,7 +9,7 @@
 //! Two requests are of one content when they ask for the same path of the same host, for
 //! the same tenant, with the same method and body; their identities differ. An edge whose
 //! connection broke under a request, and whose replica's address refuses new connections
-//! right after, reports an end. A content under which [`HELD_AFTER`] replicas ended, one
+//! right after, reports an end. A content under which [`QUARANTINED_AFTER`] replicas ended, one
 //! after the other and with no answer in between, is held: no edge sends it to a replica.
 //! After a while it is tried again, and held for twice as long where that ends a replica.
 //!
@@ -25,11 +25,8 @@
 mod ledger;
 mod recorder;
 
-pub use case::{Case, HELD_AFTER, WATCHED_AFTER};
+pub use case::{Case, QUARANTINED_AFTER, WATCHED_AFTER};
 pub use fingerprint::{Content, Fingerprint};
 pub use keeper::{FIRST_HOLD, Keeper};
 pub use ledger::{Change, Ledger};
-pub use recorder::{EndReport, Recorder, Told};
-
-/// Milliseconds of a steady clock.
-pub type Millis = u64;
+pub use recorder::{CasesUpdate, EndReport, Recorder};
--- a/crates/quarantine/src/recorder.rs
+++ b/crates/quarantine/src/recorder.rs
@@ -1,8 +1,8 @@
 //! What an edge knows of contents under which replicas ended.
 
-use crate::Millis;
 use crate::case::Case;
 use crate::fingerprint::Fingerprint;
+use brasspond_units::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 
 /// What a leader tells of contents: all that it tells of, or what changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct CasesUpdate {
     /// It names all.
     pub is_whole: bool,
     /// Contents by what is known of them now; none: nothing any more.
@@ -60,15 +60,18 @@
 
     /// Whether a content is not to be sent to any replica: a leader says so, or this edge
     /// saw enough itself.
-    pub fn is_held(&self, content: Fingerprint) -> bool {
+    pub fn is_quarantined(&self, content: Fingerprint) -> bool {
         let told = self.told.get(&content);
         let own = self.own.get(&content);
-        told.is_some_and(Case::is_held) || own.is_some_and(|own| own.case.is_held())
+        told.is_some_and(Case::is_quarantined) || own.is_some_and(|own| own.case.is_quarantined())
     }
 
     /// Contents that are held, as far as a leader told.
     pub fn held(&self) -> usize {
-        self.told.values().filter(|case| case.is_held()).count()
+        self.told
+            .values()
+            .filter(|case| case.is_quarantined())
+            .count()
     }
 
     /// A replica ended under a content. Returns whether anything new was seen.
@@ -101,7 +104,7 @@
     }
 
     /// Takes what a leader tells.
-    pub fn take(&mut self, told: Told) {
+    pub fn take(&mut self, told: CasesUpdate) {
         if told.is_whole {
             self.told.clear();
         }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -194,7 +194,7 @@
         .collect()
 }
 
-/// Whether a fault may cut a request at an edge, other than telling it to stop.
+/// Whether a fault may cut a request at an edge, other than registration it to stop.
 fn may_cut(fault: &Fault, edge: usize) -> bool {
     match fault.trouble {
         Trouble::Terminate(Process::Edge(_))
--- a/crates/warmup/src/budget.rs
+++ b/crates/warmup/src/budget.rs
@@ -1,7 +1,7 @@
 //! Grants in a sliding span.
 
-use crate::Millis;
 use crate::rate::Rate;
+use brasspond_units::Millis;
 use std::collections::VecDeque;
 
 /// Time after its own beginning up to which a new leader takes the one before to have granted
--- a/crates/warmup/src/lib.rs
+++ b/crates/warmup/src/lib.rs
@@ -22,6 +22,3 @@
 pub use permit::{PERMIT_MS, Permit};
 pub use rate::Rate;
 pub use spell::Spell;
-
-/// Milliseconds of a process's steady clock, counted from its start.
-pub type Millis = u64;
--- a/crates/warmup/src/peer_clock.rs
+++ b/crates/warmup/src/peer_clock.rs
@@ -1,6 +1,6 @@
 //! What another process's clock shows at least.
 
-use crate::Millis;
+use brasspond_units::Millis;
 
 /// Length of a window, in ms. The present and the last one count, so that what a message told
 /// is forgotten after 30 to 60 s: clocks that differ by 100 parts in a million drift 3 ms in a
--- a/crates/warmup/src/permit.rs
+++ b/crates/warmup/src/permit.rs
@@ -1,6 +1,6 @@
 //! Leave for one request to one replica that warms up.
 
-use crate::Millis;
+use brasspond_units::Millis;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/warmup/src/rate.rs
+++ b/crates/warmup/src/rate.rs
@@ -1,8 +1,8 @@
 //! How many requests a replica that warms up bears, in whole numbers.
 
-use crate::Millis;
 use crate::permit::PERMIT_MS;
 use brasspond_fleet::WarmUp;
+use brasspond_units::Millis;
 
 /// A second, in ms.
 const SECOND: Millis = 1_000;
--- a/crates/warmup/src/spell.rs
+++ b/crates/warmup/src/spell.rs
@@ -1,6 +1,6 @@
 //! Whether a replica warms up, as one process sees it.
 
-use crate::Millis;
+use brasspond_units::Millis;
 
 /// The newest spell of a replica's warming up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
