--- a/crates/golden/src/lib.rs
+++ b/crates/golden/src/lib.rs
@@ -12,7 +12,7 @@
 mod wire;
 
 pub use digest::Digest;
-pub use literals::{check_names, literals, names};
+pub use literals::{check_names, literals, names, sources};
 pub use wire::{Variants, check_bytes, check_values, to_hex};
 
 use std::path::Path;
--- a/crates/golden/src/literals.rs
+++ b/crates/golden/src/literals.rs
@@ -82,7 +82,11 @@
     found
 }
 
-fn sources(folder: &Path) -> Vec<PathBuf> {
+/// The `.rs` files below a folder, without folders named `tests` and `target`.
+///
+/// # Panics
+/// The folder cannot be read.
+pub fn sources(folder: &Path) -> Vec<PathBuf> {
     let mut found = Vec::new();
     let entries = std::fs::read_dir(folder).expect("a folder of sources can be read");
     for entry in entries {
