--- a/crates/cluster/src/storage/ordering.rs
+++ b/crates/cluster/src/storage/ordering.rs
@@ -150,7 +150,7 @@
         // leaves later than its announcement allows may follow another's.
         let is_fresh = move || clock.now() < announced_at + ANNOUNCED_FOR;
         log::info!(
-            "event=order_given replica={} model={} version={} fence={} expected_orders={} sent={is_confirmed_leader}",
+            "event=order_given replica={} model={} version={} fence={} expected_count={} sent={is_confirmed_leader}",
             order.replica.id,
             order.model,
             order.version,
