--- a/crates/brasspond/src/main.rs
+++ b/crates/brasspond/src/main.rs
@@ -46,7 +46,7 @@
         Command::Emulate(options) => emulate::run(options),
         Command::Demo(options) => demo::run(&options),
         Command::Fuzz(options) => fuzz::run(&options),
-        Command::Experiment(options) => experiment::run(&options),
+        Command::Experiment { .. } => experiment::run(),
         Command::Digest => digest::run(),
     };
     outcome.into()
--- a/crates/brasspond/src/options.rs
+++ b/crates/brasspond/src/options.rs
@@ -299,20 +299,6 @@
     pub(crate) threads: usize,
 }
 
-/// Experiments to run.
-#[derive(Clone, Debug, Bpaf)]
-pub(crate) struct ExperimentOptions {
-    /// Folder for report.json and report.html of each experiment
-    #[bpaf(argument("FOLDER"))]
-    pub(crate) out: PathBuf,
-    /// Runs at a time
-    #[bpaf(argument("N"), fallback(4))]
-    pub(crate) threads: usize,
-    /// Experiment files
-    #[bpaf(positional("FILE"), some("at least one FILE is needed"))]
-    pub(crate) files: Vec<PathBuf>,
-}
-
 /// What to do.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum Command {
@@ -376,11 +362,13 @@
     /// Example: brasspond fuzz --seeds 1..1000 --fault node-crash --fault store-down
     #[bpaf(command)]
     Fuzz(#[bpaf(external(fuzz_options))] FuzzOptions),
-    /// Compare policies on the emulator, in simulated time
-    ///
-    /// Example: brasspond experiment scenarios/cardiff.toml --out out
-    #[bpaf(command)]
-    Experiment(#[bpaf(external(experiment_options))] ExperimentOptions),
+    /// Removed; its figures are recorded in docs/MEASUREMENTS.md
+    #[bpaf(command, hide)]
+    Experiment {
+        /// Whatever the removed command was given
+        #[bpaf(any("WORD", unless_help), many, hide)]
+        _words: Vec<String>,
+    },
     /// Print the digest of a token read from standard input
     ///
     /// Example: brasspond digest < operator.token
@@ -388,6 +376,12 @@
     Digest,
 }
 
+/// Any word but a request for help.
+fn unless_help(word: String) -> Option<String> {
+    let is_help = word == "--help" || word == "-h";
+    (!is_help).then_some(word)
+}
+
 /// The parser of the whole command line.
 pub(crate) fn command_line() -> OptionParser<Command> {
     command()
--- /dev/null
+++ b/crates/brasspond/tests/removed.rs
@@ -0,0 +1,23 @@
+//! Commands that were removed say so and where their figures are recorded.
+
+use rstest::rstest;
+use std::process::Command;
+
+#[rstest]
+#[case::alone(&[])]
+#[case::as_it_was_called(&["scenarios/cardiff.toml", "--out", "out", "--threads=2"])]
+fn experiment_says_that_it_was_removed_and_is_a_wrong_usage(#[case] words: &[&str]) {
+    let output = Command::new(env!("CARGO_BIN_EXE_brasspond"))
+        .arg("experiment")
+        .args(words)
+        .output()
+        .expect("the program runs");
+    assert_eq!(output.status.code(), Some(2));
+    assert!(output.stdout.is_empty(), "nothing on standard output");
+    let said = String::from_utf8(output.stderr).expect("text");
+    assert_eq!(
+        said,
+        "brasspond experiment was removed; \
+         the figures it gave are recorded in docs/MEASUREMENTS.md\n"
+    );
+}
