--- a/crates/brasspond/src/check.rs
+++ b/crates/brasspond/src/check.rs
@@ -28,15 +28,8 @@
 
 fn check_file(file: &Path) -> Result<(), Vec<Finding>> {
     let name = file.display().to_string();
-    let about_file = |problem: String, allowed: &str| {
-        vec![Finding {
-            file: name.clone(),
-            line: 0,
-            key: "(file)".to_owned(),
-            problem,
-            allowed: allowed.to_owned(),
-        }]
-    };
+    let about_file =
+        |problem: String, allowed: &str| vec![Finding::new(&name, 0, "(file)", problem, allowed)];
     let text = std::fs::read_to_string(file)
         .map_err(|error| about_file(error.to_string(), "a file that can be read"))?;
     match file.extension().and_then(|extension| extension.to_str()) {
--- a/crates/cluster/src/evacuation.rs
+++ b/crates/cluster/src/evacuation.rs
@@ -1,4 +1,6 @@
-//! What a process knows of evacuated zones: changes for its log and metrics.
+//! Which zones are evacuated, as far as a process knows: changes for its log and metrics.
+//!
+//! It decides nothing on requests; eligibility goes by the view itself.
 
 use brasspond_fleet::FleetView;
 use std::collections::BTreeMap;
@@ -8,8 +10,9 @@
 /// Evacuations as this process last knew them.
 #[derive(Debug, Default)]
 pub struct Evacuations {
-    /// Zones that are evacuated, with when this process learnt it, in ms of its clock.
+    /// Evacuated zones, each with the time at which this process learnt it, in ms of its clock.
     in_force: BTreeMap<Arc<str>, u64>,
+    /// Whether it was ever known which zones are evacuated.
     is_known: bool,
 }
 
@@ -25,14 +28,14 @@
     InForce {
         /// The zone.
         zone: Arc<str>,
-        /// Its replicas: so many take no work for it.
+        /// Number of its replicas, which get no new work.
         replicas: usize,
     },
     /// A zone is not evacuated any more.
     Over {
         /// The zone.
         zone: Arc<str>,
-        /// Time for which it was here, in ms.
+        /// Time for which this process knew of it, in ms.
         lasted_ms: u64,
     },
 }
@@ -58,7 +61,8 @@
 }
 
 impl Evacuations {
-    /// Takes what a newer view says at `now`, in ms.
+    /// Brings the state up to a newer view at `now`, in ms of the process's clock, and returns
+    /// what changed. A view that does not know which zones are evacuated changes nothing.
     pub fn take(&mut self, view: &FleetView, now: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         if view.evacuated_revision == 0 {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -17,7 +17,6 @@
 mod metrics_server;
 pub mod platform;
 pub mod settings;
-mod source;
 pub mod storage;
 mod traffic;
 pub mod upstream;
--- a/crates/cluster/src/metrics_server.rs
+++ b/crates/cluster/src/metrics_server.rs
@@ -1,4 +1,6 @@
-//! Metrics over HTTP, on an address of their own.
+//! Serves a process's metrics over HTTP, on an address of their own.
+//!
+//! Owns the listener. The text is made by the caller's closure at each request.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -16,10 +18,15 @@
 
 /// Path of the metrics.
 const PATH: &str = "/metrics";
+/// Media type of the metrics.
 const CONTENT: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Serves what `text` gives at the moment it is asked for. A process goes on
-/// without metrics where the address cannot be had.
+/// Pause after a failed accept. It fails while the process has no file descriptor left, so a
+/// retry at once would only take the processor from requests. Not measured.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+
+/// Serves what `text` returns at the time of a request. Does not return, except where the
+/// address cannot be listened on: the process then runs without metrics.
 pub(crate) async fn serve(address: SocketAddr, text: Rc<dyn Fn() -> String>) {
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
@@ -28,11 +35,21 @@
             return;
         }
     };
+    // Only the first failure of several in a row is logged.
+    let mut is_failing = false;
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(100)).await;
-            continue;
+        let stream = match listener.accept().await {
+            Ok((stream, _)) => stream,
+            Err(error) => {
+                if !is_failing {
+                    log::warn!("event=metrics_accept_failed error=\"{error}\"");
+                }
+                is_failing = true;
+                tokio::time::sleep(ACCEPT_PAUSE).await;
+                continue;
+            }
         };
+        is_failing = false;
         let text = Rc::clone(&text);
         tokio::task::spawn_local(async move {
             let service = service_fn(|request: Request<Incoming>| {
@@ -40,11 +57,13 @@
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            // A scraper that goes away early asks again; there is nothing to do or to report.
             let _ = connection.await;
         });
     }
 }
 
+/// The metrics, or 404 for any other path.
 fn answer(path: &str, text: &dyn Fn() -> String) -> Response<Full<Bytes>> {
     if path != PATH {
         let mut response = Response::new(Full::new(Bytes::new()));
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process, already checked.
+//! Settings of a process. The adapter reads them from the platform's file and has checked them.
 
 use brasspond_metering::MeterSettings;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What every process of a cluster is told.
+/// Settings of every process of a cluster.
 #[derive(Clone, Debug)]
 pub struct ProcessSettings {
     /// Name of the machine.
@@ -15,27 +15,27 @@
     pub zone: String,
     /// Region of that zone; none: the layout is unknown.
     pub region: Option<Arc<str>>,
-    /// Whether operators may have zones evacuated: then nothing is sent to replicas before
-    /// it is known which zones are.
+    /// Whether operators may evacuate zones: then nothing is sent to replicas before it is known
+    /// which zones are evacuated.
     pub evacuates: bool,
-    /// Where other processes of the cluster connect to.
+    /// Address on which this process listens for others of the cluster.
     pub cluster_address: SocketAddr,
-    /// Processes that may know the others.
+    /// Addresses of processes that may know the others, for the first contact.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole cluster starts for the first time, so that there is no group record yet.
     pub may_bootstrap: bool,
-    /// Machines with a disk whose loss at one time must be borne.
+    /// Number of machines with a disk that may be lost at one time without loss of data.
     pub tolerated_losses: usize,
-    /// Zones whose loss at one time must be borne.
+    /// Number of zones that may be lost at one time without loss of data.
     pub tolerated_zones: usize,
-    /// Regions that machines may stand in; 0: the layout is unknown.
+    /// Number of regions of the deployment; 0: the layout is unknown.
     pub regions: usize,
-    /// Regions whose loss at one time must be borne.
+    /// Number of regions that may be lost at one time without loss of data.
     pub tolerated_regions: usize,
-    /// Pause of the view's source between two answers on replicas: what it tells is
-    /// so old at the most while it answers.
+    /// Pause between two answers of the view's source on replicas: while it answers, what it says
+    /// of replicas is no older than this.
     pub source_pause: Duration,
-    /// How tenants' usage is reported; none: nobody asks for it.
+    /// How tenants' usage is reported; none: the deployment does not ask for it.
     pub metering: Option<MeterSettings>,
     /// Where metrics are served; none: nowhere.
     pub metrics_address: Option<SocketAddr>,
@@ -44,31 +44,31 @@
 /// Settings of an edge.
 #[derive(Clone, Debug)]
 pub struct EdgeSettings {
-    /// Those of every process.
+    /// Settings of every process.
     pub process: ProcessSettings,
-    /// Where callers connect to.
+    /// Address on which callers connect.
     pub front: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address on which the platform asks for readiness.
     pub ready: SocketAddr,
-    /// Time from the order to stop until the process is killed.
+    /// Time from SIGTERM until the platform kills the process.
     pub grace: Duration,
 }
 
 /// Settings of a storage process.
 #[derive(Clone, Debug)]
 pub struct StorageSettings {
-    /// Those of every process.
+    /// Settings of every process.
     pub process: ProcessSettings,
-    /// Whether numbers of replicas are ordered.
+    /// Whether the leader orders numbers of replicas from the platform.
     pub scales: bool,
-    /// Folder on the disk.
+    /// Folder of the log and of results, on a disk that outlives a restart.
     pub folder: PathBuf,
-    /// Time for which a holder of replicas' orders keeps its place, in ms.
+    /// Lease of orders to replicas, in ms: no other holder may order within it.
     pub lease_ms: u64,
-    /// Time after an acknowledged end of a job from which nothing of it may begin, in ms.
+    /// Time after a job's acknowledged end from which nothing of it may begin, in ms.
     pub cancel_ms: u64,
-    /// Time after its submission until which a job may be asked for, in ms.
+    /// Time after a job's submission until which it may be read, in ms.
     pub job_life_ms: u64,
-    /// Time from the order to stop until the process is killed.
+    /// Time from SIGTERM until the platform kills the process.
     pub grace: Duration,
 }
--- /dev/null
+++ b/crates/cluster/tests/unit/reachability.rs
@@ -0,0 +1,34 @@
+//! Pauses between calls to the source of the view, and what one part says of the others.
+
+use super::{Reachability, pause_after};
+use crate::platform::Observed;
+use rstest::rstest;
+use std::time::Duration;
+use tokio::sync::watch;
+
+#[rstest]
+#[case::first(1, 150)]
+#[case::second(2, 300)]
+#[case::at_the_bound(4, 600)]
+#[case::beyond_the_bound(1_000_000, 600)]
+fn pause_grows_with_failures_up_to_a_bound(#[case] failures: u32, #[case] expected_ms: u64) {
+    assert_eq!(pause_after(failures), Duration::from_millis(expected_ms));
+}
+
+#[rstest]
+fn source_answers_once_every_part_succeeds_again() {
+    let observed = watch::Sender::new(Observed {
+        reachable: true,
+        ..Observed::default()
+    });
+    let mut first = Reachability::default();
+    let mut second = first.for_another_part();
+    first.record_failure("first", &"silent", &observed);
+    second.record_failure("second", &"silent", &observed);
+    second.record_failure("second", &"silent", &observed);
+    assert!(!observed.borrow().reachable);
+    first.record_success("first");
+    assert!(!first.all_parts_succeed());
+    second.record_success("second");
+    assert!(first.all_parts_succeed() && second.all_parts_succeed());
+}
--- a/crates/entries/tests/unreadable.rs
+++ b/crates/entries/tests/unreadable.rs
@@ -9,16 +9,16 @@
     let mut account = Unreadable::default();
     let problem = Problem::new("no object");
     for _ in 0..3 {
-        account.note("replicas", "a", &problem);
+        account.record("replicas", "a", &problem);
     }
-    account.note("replicas", "b", &problem);
-    account.note("versions", "a", &problem);
+    account.record("replicas", "b", &problem);
+    account.record("versions", "a", &problem);
     let counts: Vec<_> = account.counts().collect();
     assert_eq!(counts, [("replicas", 2, 2), ("versions", 1, 1)]);
     account.clear("replicas", "a");
     account.clear("replicas", "never");
     assert!(!account.contains("replicas", "a"));
-    account.note("replicas", "a", &problem);
+    account.record("replicas", "a", &problem);
     assert_eq!(account.counts().next(), Some(("replicas", 2, 3)));
     account.retain("replicas", |name| name == "b");
     assert_eq!(account.counts().next(), Some(("replicas", 1, 3)));
--- a/crates/findings/src/document.rs
+++ b/crates/findings/src/document.rs
@@ -41,24 +41,12 @@
 
     /// Builds a finding about `key` of this document.
     pub fn finding(&self, key: &str, problem: String, allowed: String) -> Finding {
-        Finding {
-            file: self.file.clone(),
-            line: self.line(key),
-            key: key.to_owned(),
-            problem,
-            allowed,
-        }
+        Finding::new(&self.file, self.line(key), key, problem, allowed)
     }
 }
 
 fn unreadable(file: &str, line: usize, problem: String, allowed: &str) -> Finding {
-    Finding {
-        file: file.to_owned(),
-        line,
-        key: "(document)".to_owned(),
-        problem,
-        allowed: allowed.to_owned(),
-    }
+    Finding::new(file, line, "(document)", problem, allowed)
 }
 
 fn line_of_offset(text: &str, offset: usize) -> usize {
--- a/crates/findings/src/lib.rs
+++ b/crates/findings/src/lib.rs
@@ -29,6 +29,25 @@
     pub allowed: String,
 }
 
+impl Finding {
+    /// A finding at a line of a file, counted from 1; 0: the line is not known.
+    pub fn new(
+        file: &str,
+        line: usize,
+        key: &str,
+        problem: impl Into<String>,
+        allowed: impl Into<String>,
+    ) -> Self {
+        Self {
+            file: file.to_string(),
+            line,
+            key: key.to_string(),
+            problem: problem.into(),
+            allowed: allowed.into(),
+        }
+    }
+}
+
 impl fmt::Display for Finding {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
