--- a/crates/brasspond/src/explain.rs
+++ b/crates/brasspond/src/explain.rs
@@ -1,4 +1,5 @@
-//! `brasspond explain`: one request's, item's or job's story out of log files.
+//! `brasspond explain`: the story of one request, item, job, usage window or content out of log
+//! files.
 
 use crate::exit::Outcome;
 use crate::options::ExplainOptions;
@@ -30,7 +31,7 @@
         return Outcome::Failed;
     }
     let mut output = std::io::stdout().lock();
-    for line in story.tell() {
+    for line in story.into_lines() {
         if writeln!(output, "{line}").is_err() {
             return Outcome::Failed;
         }
--- a/crates/telemetry/src/log_ring.rs
+++ b/crates/telemetry/src/log_ring.rs
@@ -1,8 +1,8 @@
 //! Log lines behind a bounded ring.
 //!
-//! Every line is one event of key=value pairs. Lines of one event beyond a
-//! number a second are folded into a count; lines that find the ring full are
-//! dropped and counted. Both counts are told in lines of their own.
+//! Every line is one event of key=value pairs. Lines of one event beyond a number a second are
+//! folded into a count. Lines that find the ring full are dropped and counted. Both counts are
+//! logged in lines of their own, which no limit applies to.
 
 use log::LevelFilter;
 use simplelog::{ConfigBuilder, WriteLogger};
@@ -13,24 +13,27 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::time::{Duration, Instant};
 
-/// Pause of the writing thread between two writes, so that lines come together.
+/// Pause of the writing thread between two writes, so that several lines are written together:
+/// each wake-up costs the process. Not measured.
 const WRITE_PAUSE: Duration = Duration::from_millis(20);
-/// Time after which the writing thread looks whether lines were dropped.
-const IDLE_PAUSE: Duration = Duration::from_secs(2);
-/// Length of the time over which lines of an event are counted.
-const WINDOW: Duration = Duration::from_secs(1);
+/// Time without a line after which the writing thread checks whether lines were dropped. Not
+/// measured.
+const DROP_CHECK_PAUSE: Duration = Duration::from_secs(2);
+/// Time over which lines of an event are counted: `LogLimits::per_event` is a number a second.
+const FOLD_WINDOW: Duration = Duration::from_secs(1);
 /// Event of lines that name none.
 const NO_EVENT: &str = "none";
 
 /// Bounds on the volume of log lines.
 #[derive(Clone, Copy, Debug)]
 pub struct LogLimits {
-    /// Lines the ring holds.
+    /// Most lines in the ring.
     pub ring: usize,
-    /// Lines of one event a second; more are folded into a count.
+    /// Most lines of one event a second; more are folded into a count.
     pub per_event: u64,
 }
 
+/// Not measured.
 impl Default for LogLimits {
     fn default() -> Self {
         Self {
@@ -62,6 +65,7 @@
     pub fn flush(&self, limit: Duration) {
         let (done, wait) = sync_channel(1);
         if self.lines.try_send(Line::Flush(done)).is_ok() {
+            // At the limit the process ends without the lines that are left.
             let _ = wait.recv_timeout(limit);
         }
     }
@@ -82,11 +86,12 @@
         .set_thread_level(LevelFilter::Off)
         .set_target_level(LevelFilter::Off)
         .build();
+    // Fails only where a logger is set already, as between tests; that one stays.
     let _ = WriteLogger::init(level, config, writer);
     Ok(ring)
 }
 
-/// A ring and the end of it that lines are written to.
+/// Makes a ring, and the writer that puts lines into it.
 pub(crate) fn ring(
     limits: LogLimits,
     sink: impl Write + Send + 'static,
@@ -111,37 +116,39 @@
 }
 
 fn write_lines(lines: &Receiver<Line>, dropped: &AtomicU64, mut sink: impl Write) {
-    let mut told = 0;
+    let mut reported = 0;
     loop {
         let mut batch = Vec::new();
         let mut flushed = Vec::new();
-        match lines.recv_timeout(IDLE_PAUSE) {
-            Ok(line) => take(line, &mut batch, &mut flushed),
+        match lines.recv_timeout(DROP_CHECK_PAUSE) {
+            Ok(line) => sort(line, &mut batch, &mut flushed),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
         while let Ok(line) = lines.try_recv() {
-            take(line, &mut batch, &mut flushed);
+            sort(line, &mut batch, &mut flushed);
         }
         let now = dropped.load(Ordering::Relaxed);
-        if now > told {
-            let text = format!("[WARN] event=log_lines_dropped count={}\n", now - told);
+        if now > reported {
+            let text = format!("[WARN] event=log_lines_dropped count={}\n", now - reported);
             batch.extend_from_slice(text.as_bytes());
-            told = now;
+            reported = now;
         }
         if !batch.is_empty() {
-            // Nobody can be told where standard output itself fails.
+            // There is nowhere to log that the log itself cannot be written.
             let _ = sink.write_all(&batch);
             let _ = sink.flush();
         }
         for done in flushed {
+            // Whoever asked may have reached its limit and gone.
             let _ = done.send(());
         }
         std::thread::sleep(WRITE_PAUSE);
     }
 }
 
-fn take(line: Line, batch: &mut Vec<u8>, flushed: &mut Vec<SyncSender<()>>) {
+/// Adds a text to the batch, or a flush to those to answer after it is written.
+fn sort(line: Line, batch: &mut Vec<u8>, flushed: &mut Vec<SyncSender<()>>) {
     match line {
         Line::Text(text) => batch.extend_from_slice(&text),
         Line::Flush(done) => flushed.push(done),
@@ -165,7 +172,7 @@
 
     fn finish_line(&mut self) {
         let line = std::mem::take(&mut self.line);
-        for folded in self.folds.turn(Instant::now()) {
+        for folded in self.folds.finish_window(Instant::now()) {
             self.put(folded);
         }
         if self.folds.may_pass(event_of(&line)) {
@@ -206,9 +213,10 @@
         }
     }
 
-    /// Lines about what was folded, once the window is over.
-    fn turn(&mut self, now: Instant) -> Vec<Vec<u8>> {
-        if now.duration_since(self.since) < WINDOW {
+    /// Once the window is over, begins the next and returns a line for each event of which lines
+    /// were folded.
+    fn finish_window(&mut self, now: Instant) -> Vec<Vec<u8>> {
+        if now.duration_since(self.since) < FOLD_WINDOW {
             return Vec::new();
         }
         self.since = now;
@@ -224,6 +232,7 @@
             .collect()
     }
 
+    /// Counts a line of an event; whether it is within the limit.
     fn may_pass(&mut self, event: &str) -> bool {
         let count = match self.counts.get_mut(event) {
             Some(count) => count,
@@ -234,6 +243,7 @@
     }
 }
 
+/// The event that a line names, or `NO_EVENT`. A line that is no UTF-8 names none.
 fn event_of(line: &[u8]) -> &str {
     let text = std::str::from_utf8(line).unwrap_or_default();
     let mut words = text.split_ascii_whitespace();
--- a/crates/telemetry/src/link_metrics.rs
+++ b/crates/telemetry/src/metrics/links.rs
@@ -16,8 +16,8 @@
 }
 
 impl LinkMetrics {
-    /// Metrics that a registry tells.
-    pub(crate) fn register(registry: &mut Registry) -> Self {
+    /// Registers these metrics.
+    pub(super) fn register(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         registry.register(
             "link_sent_bytes",
@@ -32,7 +32,7 @@
         metrics
     }
 
-    /// All bytes sent so far of a kind to a distance.
+    /// Bytes of a kind that were sent to a distance since the process started.
     pub fn sent(&self, kind: &'static str, distance: &'static str, bytes: u64) {
         let labels = vec![("kind", kind), ("distance", distance)];
         let counter = self.sent.get_or_create(&labels);
--- a/crates/telemetry/src/source_metrics.rs
+++ b/crates/telemetry/src/metrics/source.rs
@@ -16,8 +16,8 @@
 }
 
 impl SourceMetrics {
-    /// Metrics that a registry tells.
-    pub(crate) fn register(registry: &mut Registry) -> Self {
+    /// Registers these metrics.
+    pub(super) fn register(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         registry.register(
             "unreadable_entries",
@@ -32,7 +32,8 @@
         metrics
     }
 
-    /// Entries of a kind that cannot be read now, and how often one turned so since the start.
+    /// How many entries of a kind cannot be read now, and how often one became so since the
+    /// process started.
     pub fn unreadable(&self, kind: &'static str, now: usize, turned: u64) {
         let labels = vec![("kind", kind)];
         self.now.get_or_create(&labels).set(now as i64);
--- a/crates/telemetry/tests/explain.rs
+++ b/crates/telemetry/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Stories out of logs of several processes.
+//! Stories out of the logs of several processes.
 
 use brasspond_telemetry::Story;
 use rstest::rstest;
@@ -35,7 +35,7 @@
     story
         .read("leader", LEADER.as_bytes(), |_| {})
         .expect("reads");
-    story.tell()
+    story.into_lines()
 }
 
 #[rstest]
@@ -69,18 +69,18 @@
     "j",
     "1 runs ended whole; 1 runs moved (stalled); last start 40 ms after the job was known to the leader"
 )]
-fn the_cause_is_named(#[case] id: &str, #[case] cause: &str) {
-    let told = story(id);
+fn last_line_names_the_cause(#[case] id: &str, #[case] cause: &str) {
+    let lines = story(id);
     assert_eq!(
-        told.last().map(String::as_str),
+        lines.last().map(String::as_str),
         Some(format!("cause: {cause}").as_str())
     );
 }
 
 #[rstest]
-fn what_happened_meanwhile_is_told_in_order() {
-    let told = story("a");
-    let events: Vec<&str> = told
+fn context_between_first_and_last_line_is_shown_in_order_of_time() {
+    let lines = story("a");
+    let events: Vec<&str> = lines
         .iter()
         .filter_map(|line| line.split("event=").nth(1)?.split(' ').next())
         .collect();
@@ -91,7 +91,7 @@
 }
 
 #[rstest]
-fn an_unknown_identity_is_known_as_such() {
+fn identity_that_no_line_names_is_not_known() {
     let mut story = Story::of("nobody");
     story.read("edge", EDGE.as_bytes(), |_| {}).expect("reads");
     assert!(!story.is_known());
--- a/crates/telemetry/tests/unit/log_ring.rs
+++ b/crates/telemetry/tests/unit/log_ring.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// A sink that waits for a word before each write.
+/// A sink that waits for a permission before each write.
 struct Stuck {
     go: Receiver<()>,
     written: Sender<Vec<u8>>,
@@ -50,7 +50,7 @@
 }
 
 #[rstest]
-fn a_full_ring_drops_lines_counts_them_and_never_waits() {
+fn full_ring_drops_and_counts_lines_without_waiting() {
     let limits = LogLimits {
         ring: 8,
         per_event: 1_000_000,
@@ -69,8 +69,11 @@
     for _ in 0..50 {
         let _ = go.send(());
     }
-    let told = text(&lines, "event=log_lines_dropped");
-    assert!(told.contains("event=log_lines_dropped count="), "{told}");
+    let reported = text(&lines, "event=log_lines_dropped");
+    assert!(
+        reported.contains("event=log_lines_dropped count="),
+        "{reported}"
+    );
 }
 
 #[rstest]
