--- a/crates/dispatch/examples/fleet_cost.rs
+++ b/crates/dispatch/examples/fleet_cost.rs
@@ -158,10 +158,7 @@
             ..FleetView::default()
         };
         let table = JobTable::default();
-        let settings = Settings {
-            adopt_ms: 0,
-            ..Settings::default()
-        };
+        let settings = Settings { adopt_ms: 0 };
         let leases = OrderLeases::default();
         let dispatcher = Dispatcher::new(1, settings, &table, view.clone(), leases, 0);
         let mut fleet = Self {
--- a/crates/dispatch/src/demand.rs
+++ b/crates/dispatch/src/demand.rs
@@ -1,17 +1,20 @@
-//! How much each model is asked for, and how replicas are divided by it.
+//! How much each model is asked for, and how the replicas of a service are divided by it.
 //!
-//! Demand is the tokens that jobs expect to be written, forgotten over
-//! [`MEMORY`]: a model with longer answers needs more places for as many items,
-//! or its last items begin late and its step ends late. A model's part of `n`
-//! replicas is `n x demand / total demand`, at least one.
+//! Owns the demand by model: the tokens that jobs expect to be written, which fade with
+//! [`FADING_TIME`]. Tokens count, not items, as a model with longer answers needs more places for
+//! as many items, or its last items begin late. A model's part of `n` replicas is
+//! `n x demand / total demand`, at least one.
 
 use brasspond_units::Millis;
 use std::collections::BTreeMap;
 
-/// Time after which demand counts for a third of what it was, in ms. Many jobs
-/// long, or each job would swing the division towards its model and back.
-const MEMORY: f64 = 60_000.0;
-/// A model keeps its replicas until it has so many more or fewer than its part.
+/// Time after which demand counts for 1/e (0.37) of what it was, in ms: several steps of a
+/// trainer, or each job would move replicas to its model and back. Other figures were not
+/// measured (docs/design/0023-time-of-calls-and-peaks.md).
+const FADING_TIME: f64 = 60_000.0;
+/// A replica moves to another model once one has so many replicas more than its part and the
+/// other so many fewer: beyond half a replica, or rounding would move it back. Measured with
+/// the division as a whole, not alone (docs/design/0014-placement-and-sight.md).
 const SLACK: f64 = 0.6;
 
 /// Expected tokens by model.
@@ -22,16 +25,16 @@
 }
 
 impl Demand {
-    /// A job of a model asks for so many tokens.
-    pub fn note(&mut self, model: &str, tokens: u64, now: Millis) {
+    /// A job of a model expects so many tokens.
+    pub fn record(&mut self, model: &str, tokens: u64, now: Millis) {
         let age = now.saturating_sub(self.as_of) as f64;
-        let fading = (-age / MEMORY).exp();
+        let fading = (-age / FADING_TIME).exp();
         self.by_model.values_mut().for_each(|one| *one *= fading);
         self.as_of = now;
         *self.by_model.entry(model.to_string()).or_default() += tokens as f64;
     }
 
-    /// Each model's part of `replicas`; equal parts before anything is asked.
+    /// Each model's part of `replicas`; equal parts while there is no demand.
     fn parts(&self, models: &[String], replicas: usize) -> Vec<f64> {
         let asked = models.iter().map(|model| self.by_model.get(model).copied());
         let asked: Vec<f64> = asked.map(Option::unwrap_or_default).collect();
@@ -42,7 +45,7 @@
             return vec![equal; models.len()];
         }
         let least = equal.min(1.0);
-        // Those that are given the least leave the rest to the others.
+        // Models that get the least share what remains with no other.
         let is_small = |one: &f64| replicas * one / total < least;
         let small = asked.iter().filter(|one| is_small(one)).count() as f64;
         let large: f64 = asked.iter().filter(|one| !is_small(one)).sum();
@@ -56,15 +59,18 @@
         asked.iter().map(part).collect()
     }
 
-    /// The model that most lacks replicas.
+    /// The model that lacks most replicas of its part, by its number in `models`; of several the
+    /// first.
     pub fn neediest(&self, models: &[String], counts: &[usize], replicas: usize) -> usize {
         let parts = self.parts(models, replicas);
         let lacks = |number: &usize| parts[*number] - counts[*number] as f64;
-        let needy = (0..models.len()).max_by(|a, b| lacks(a).total_cmp(&lacks(b)).then(b.cmp(a)));
-        needy.unwrap_or(0)
+        let neediest =
+            (0..models.len()).max_by(|a, b| lacks(a).total_cmp(&lacks(b)).then(b.cmp(a)));
+        neediest.unwrap_or(0)
     }
 
-    /// A replica to be moved, as the models it leaves and serves then.
+    /// The models from and to which a replica is to move, by their numbers; none: each has about
+    /// its part.
     pub fn shift(&self, models: &[String], counts: &[usize]) -> Option<(usize, usize)> {
         let replicas = counts.iter().sum();
         let parts = self.parts(models, replicas);
--- /dev/null
+++ b/crates/dispatch/src/job_route.rs
@@ -0,0 +1,52 @@
+//! Where the items of a job may go, by the newest configuration.
+
+use crate::residency::regions_of_bodies;
+use brasspond_fleet::{Configuration, FleetView, Regions, Route, Target, choose_target};
+use brasspond_jobs::Job;
+
+/// Where a job's items may go.
+#[derive(Clone, Debug)]
+pub(crate) struct JobRoute {
+    /// Services that may run the items, by weight; never empty.
+    targets: Vec<Target>,
+    pub max_attempts: u32,
+    pub max_queue_ms: u64,
+    pub single_version: bool,
+    /// Where items may run: what the route and the job's tenant both allow.
+    pub regions: Regions,
+    /// Where bodies of items and of their scoring calls may be: edges inside these run them.
+    pub bodies: Regions,
+}
+
+impl JobRoute {
+    /// The service that runs an item: the same for all its runs.
+    pub fn service(&self, item: u32) -> &str {
+        let target = choose_target(&self.targets, u64::from(item));
+        target.map_or("", |target| target.service.as_str())
+    }
+}
+
+/// The route of a job; none where it leads nowhere, and before a configuration is known.
+pub(crate) fn find_route(view: &FleetView, job: &Job) -> Option<JobRoute> {
+    let configuration = view.configuration.as_ref()?;
+    let route = configuration.route(&job.host, &job.path)?;
+    job_route(configuration, route, job)
+}
+
+fn job_route(configuration: &Configuration, route: &Route, job: &Job) -> Option<JobRoute> {
+    if !route.kind.is_job() {
+        return None;
+    }
+    if route.targets.is_empty() {
+        return None;
+    }
+    let tenant = job.tenant.as_deref();
+    Some(JobRoute {
+        targets: route.targets.clone(),
+        max_attempts: route.max_attempts.max(1),
+        max_queue_ms: route.max_queue_ms,
+        single_version: route.single_version,
+        regions: configuration.regions_of(route, tenant),
+        bodies: regions_of_bodies(configuration, route, tenant, &job.items),
+    })
+}
--- a/crates/dispatch/src/load_cost.rs
+++ b/crates/dispatch/src/load_cost.rs
@@ -1,28 +1,32 @@
 //! How much slower a full replica is than an empty one, learned from paces.
 //!
-//! Of each replica the paces told lately and how full it was then are compared with its
-//! own means, so that replicas of different speeds say the same:
+//! A pace is the time of an event in ms; the fill is the part of a replica's slots that are taken,
+//! 0 to 1. Both are compared with the replica's own means, so that replicas of different speeds
+//! give the same slope:
 //!
 //! ```text
-//! (pace - mean pace) / pace alone  =  slope x (fill - mean fill)
-//! pace alone  =  mean pace / (1 + slope x mean fill)
+//! (pace - mean pace) / pace of an empty replica  =  slope x (fill - mean fill)
+//! pace of an empty replica  =  mean pace / (1 + slope x mean fill)
 //! ```
 //!
-//! The slope is that of least squares over all replicas of a service, with a prior.
+//! The slope is fitted by least squares over all replicas of a service, with a prior.
 
-/// Slope before anything was seen: that of the first deployments.
-const PRIOR: f64 = 0.3;
-/// Weight of the prior, in squared differences of fill: some seconds of paces outweigh it.
+/// Slope before any pace was seen: a full replica takes 1.3 times as long. Other figures were not
+/// measured.
+const PRIOR_SLOPE: f64 = 0.3;
+/// Weight of the prior, in squared differences of fill: some seconds of paces outweigh it. Not
+/// measured.
 const PRIOR_WEIGHT: f64 = 5.0;
-/// What is left of earlier sums with each pace: some thousand count.
+/// What is left of earlier sums with each pace: the last thousand count. Not measured.
 const FADING: f64 = 0.999;
-/// Weight of a pace in a replica's means.
+/// Weight of a pace in a replica's means: the last ten count. Not measured.
 const MEAN_WEIGHT: f64 = 0.1;
-/// A pace so far from its mean tells of something else (a load, a preemption, a fault) and
-/// moves the mean no further than that.
-const FARTHEST: f64 = 0.5;
-/// Largest slope.
-const MOST: f64 = 1.0;
+/// A pace that differs from its mean by this part or more has another reason than load (weights
+/// that load, a preemption, a fault). It does not count for the slope, and moves the mean by no
+/// more than this part would. Not measured.
+const MOST_DEVIATION: f64 = 0.5;
+/// Largest slope: a full replica takes twice as long. Not measured.
+const MOST_SLOPE: f64 = 1.0;
 
 /// Means of one replica.
 #[derive(Clone, Copy, Debug)]
@@ -34,14 +38,16 @@
 /// The slope of one service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadCost {
+    /// Sum of products of relative paces and fills, each less its mean.
     products: f64,
+    /// Sum of squares of fills, each less its mean.
     squares: f64,
 }
 
 impl Default for LoadCost {
     fn default() -> Self {
         Self {
-            products: PRIOR * PRIOR_WEIGHT,
+            products: PRIOR_SLOPE * PRIOR_WEIGHT,
             squares: PRIOR_WEIGHT,
         }
     }
@@ -50,7 +56,7 @@
 impl LoadCost {
     /// Part of its time by which an event takes longer on a full replica.
     pub fn slope(&self) -> f64 {
-        (self.products / self.squares).clamp(0.0, MOST)
+        (self.products / self.squares).clamp(0.0, MOST_SLOPE)
     }
 
     /// Times longer that an event takes at a fill of 0 to 1.
@@ -58,20 +64,23 @@
         1.0 + self.slope() * fill
     }
 
-    /// A replica's event took `pace` ms while it was so full.
-    pub fn note(&mut self, means: &mut Option<Means>, pace: f64, fill: f64) {
+    /// An event of a replica took `pace` ms at a fill of 0 to 1.
+    pub fn observe(&mut self, means: &mut Option<Means>, pace: f64, fill: f64) {
         let Some(known) = means else {
             *means = Some(Means { pace, fill });
             return;
         };
-        let alone = known.pace / self.factor(known.fill);
-        let slower = (pace - known.pace) / alone;
+        let unloaded = known.pace / self.factor(known.fill);
+        let slower = (pace - known.pace) / unloaded;
         let fuller = fill - known.fill;
-        if slower.abs() < FARTHEST {
+        if slower.abs() < MOST_DEVIATION {
             self.products = self.products * FADING + slower * fuller;
             self.squares = (self.squares * FADING + fuller * fuller).max(f64::EPSILON);
         }
-        let pace = pace.clamp(known.pace * (1.0 - FARTHEST), known.pace * (1.0 + FARTHEST));
+        let pace = pace.clamp(
+            known.pace * (1.0 - MOST_DEVIATION),
+            known.pace * (1.0 + MOST_DEVIATION),
+        );
         known.pace += MEAN_WEIGHT * (pace - known.pace);
         known.fill += MEAN_WEIGHT * (fill - known.fill);
     }
--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -1,14 +1,10 @@
-//! Which replica takes the next item, without a look at the whole fleet for each.
+//! Which replica runs the next waiting item.
 //!
-//! For each kind of need there is a queue of replicas, the cheapest first. It is made by one
-//! look at the fleet and kept for a while; a replica that gets room meanwhile is added.
-//! Costs change as runs begin and end, so the head of a queue is priced anew before it is
-//! taken, and goes back where it has become dearer. Placing `k` items on `n` replicas so
-//! costs `n + k log n`.
-//!
-//! ```text
-//! cost = time of an event alone x (1 + slope x fill) [x (1 + OTHER_MODEL_COST)]
-//! ```
+//! Owns queues of replicas, one for each kind of need, the cheapest replica first. A queue is
+//! made by one pass over the fleet and kept for some time ([`REPLICAS_A_MS`]); a replica that
+//! gets free places meanwhile is added. Costs change as runs begin and end, so the head of a
+//! queue is priced again before it is taken, and goes back where it has become dearer. Placing
+//! `k` items on `n` replicas takes `n + k log n` steps. Relies on `places` for free places.
 
 use crate::orders::Orders;
 use crate::replicas::{Need, Replica, Replicas};
@@ -17,13 +13,29 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Replicas for which queues are kept for a ms: pauses that are over and newer paces are
-/// seen once they are made anew, at once in a small fleet, after half a second where
-/// thousands are looked at.
+/// Replicas for which queues are kept for a ms. Ends of pauses and newer paces are seen once
+/// queues are made again: at once in a small fleet, after half a second where there are 3,000
+/// replicas, as a pass over these for each item would take all the leader's time
+/// (docs/CAPACITY.md).
 const REPLICAS_A_MS: u64 = 6;
-/// A replica that serves another model first counts as this much slower.
+/// A replica that serves another model first counts as slower by this part: it is taken
+/// where all that serve the item's model first are about as much slower, or full. Not measured.
 const OTHER_MODEL_COST: f64 = 0.6;
 
+/// What it costs a run to go on at a replica; the least is chosen. Inputs: ms of an event at the
+/// replica's present load, none before any pace of its service is known, in which case the
+/// emptiest is the cheapest; the part of its slots that are taken; whether it serves another
+/// model first.
+fn run_cost(event_ms: Option<f64>, fill: f64, serves_other_first: bool) -> f64 {
+    let cost = event_ms.unwrap_or(1.0 + fill);
+    let other_model = if serves_other_first {
+        OTHER_MODEL_COST
+    } else {
+        0.0
+    };
+    cost * (1.0 + other_model)
+}
+
 /// A [`Need`] that outlives its item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct NeedKey {
@@ -88,34 +100,27 @@
 
 type Queue = BinaryHeap<Reverse<Candidate>>;
 
-/// What a look at a replica needs.
+/// The state that decides whether a replica takes a run, and at what cost.
 #[derive(Clone, Copy)]
-pub(crate) struct Sight<'a> {
+pub(crate) struct Availability<'a> {
     pub replicas: &'a Replicas,
     pub orders: &'a Orders,
     pub now: Millis,
 }
 
-impl Sight<'_> {
+impl Availability<'_> {
     /// What it costs a run to go on at a replica; none: the replica does not take it.
     fn cost(&self, need: &Need<'_>, id: &str, replica: &Replica) -> Option<f64> {
-        let may_be_sent = !replica.has_budget(self.now)
-            || (self.replicas.warming.may_grant() && replica.budget_left(self.now) > 0);
-        let takes = may_be_sent
+        let takes = self.replicas.free_places(replica, self.now) > 0
             && replica.standing.takes(&need.work(self.now)).is_ok()
-            && replica.running < replica.slots
-            && replica.paused_until <= self.now
             && !self.orders.is_loading(id, need.model);
         if !takes {
             return None;
         }
-        let cost = self.replicas.pace_with(replica, 0);
-        // Before any pace is known the emptiest is the cheapest.
-        let cost = cost.unwrap_or_else(|| 1.0 + replica.fill());
+        let event_ms = self.replicas.pace_with(replica, 0);
         let first = self.orders.serves_first.get(id);
-        let serves_first = first.is_none_or(|model| *model == need.model);
-        let other_model = if serves_first { 0.0 } else { OTHER_MODEL_COST };
-        Some(cost * (1.0 + other_model))
+        let serves_other_first = first.is_some_and(|model| *model != need.model);
+        Some(run_cost(event_ms, replica.fill(), serves_other_first))
     }
 
     fn candidate(&self, need: &Need<'_>, id: &str) -> Option<Candidate> {
@@ -141,18 +146,18 @@
 pub(crate) struct Placement {
     queues: Vec<(NeedKey, Queue)>,
     made_at: Millis,
-    /// Replicas that got room since queues were last looked at.
+    /// Replicas that got free places since the queues were last brought up to date.
     freed: Vec<String>,
 }
 
 impl Placement {
-    /// Anything may have changed: the fleet is looked at anew.
+    /// Drops all queues: anything may have changed.
     pub fn forget(&mut self) {
         self.queues.clear();
         self.freed.clear();
     }
 
-    /// A replica has room that it had not, or serves something newer.
+    /// A replica has a free place that it had not, or serves something newer.
     pub fn freed(&mut self, replica: &str) {
         if !self.queues.is_empty() {
             self.freed.push(replica.to_string());
@@ -160,35 +165,36 @@
     }
 
     /// Brings the queues up to date.
-    pub fn refresh(&mut self, sight: Sight<'_>) {
-        let life = sight.replicas.by_id.len() as Millis / REPLICAS_A_MS;
-        if sight.now >= self.made_at + life {
+    pub fn refresh(&mut self, availability: Availability<'_>) {
+        let kept_for = availability.replicas.by_id.len() as Millis / REPLICAS_A_MS;
+        if availability.now >= self.made_at + kept_for {
             self.forget();
-            self.made_at = sight.now;
+            self.made_at = availability.now;
         }
         for replica in std::mem::take(&mut self.freed) {
             for (key, queue) in &mut self.queues {
-                let candidate = sight.candidate(&key.need(), &replica);
+                let candidate = availability.candidate(&key.need(), &replica);
                 queue.extend(candidate.map(Reverse));
             }
         }
     }
 
-    /// The replica on which a run is expected to end first; none has room.
-    pub fn choose(&mut self, need: &Need<'_>, sight: Sight<'_>) -> Option<String> {
+    /// The replica at which a run costs least ([`run_cost`]); none: none takes it now.
+    pub fn choose(&mut self, need: &Need<'_>, availability: Availability<'_>) -> Option<String> {
         let known = self.queues.iter().position(|(key, _)| key.is(need));
         let number = known.unwrap_or_else(|| {
-            self.queues.push((NeedKey::of(need), sight.queue(need)));
+            let queue = availability.queue(need);
+            self.queues.push((NeedKey::of(need), queue));
             self.queues.len() - 1
         });
         let queue = &mut self.queues[number].1;
         while let Some(Reverse(head)) = queue.pop() {
-            let Some(present) = sight.candidate(need, &head.replica) else {
+            let Some(present) = availability.candidate(need, &head.replica) else {
                 continue;
             };
             let is_cheapest = queue.peek().is_none_or(|Reverse(next)| present <= *next);
             let replica = present.replica.clone();
-            // It goes back: it may take another, at a cost that is looked at then.
+            // It goes back: it may take another, and is priced again then.
             queue.push(Reverse(present));
             if is_cheapest {
                 return Some(replica);
@@ -197,3 +203,7 @@
         None
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/placement.rs"]
+mod tests;
--- a/crates/dispatch/src/rebirth.rs
+++ b/crates/dispatch/src/rebirth.rs
@@ -1,21 +1,20 @@
 //! Replicas that start again under their id.
 //!
-//! What is known of a replica is of its id (which model it serves first, leases of orders,
-//! grants that count) or of one life of it (versions, counts of orders, paces, faults, loads,
-//! connections at rest, runs). The latter is void as soon as a newer life is heard of, from
-//! its entry or its report, whichever comes first.
+//! Owns nothing. What is known of a replica is of its id (which model it serves first, leases of
+//! orders, grants that count) or of one life of it (versions, counts of orders, paces, faults,
+//! loads, idle connections, runs). What is of a life is void once a newer life is known, from its
+//! entry or its report, whichever comes first.
 
-use crate::dispatcher::{Action, Dispatcher};
+use crate::action::Action;
+use crate::dispatcher::Dispatcher;
 use crate::replicas::{Replica, Replicas};
-use brasspond_cluster_protocol::AttemptId;
 use brasspond_fleet::{FleetView, Identity, LifeChange};
 use brasspond_units::Millis;
 use std::sync::Arc;
 
 impl Replica {
-    /// Forgets what the life before held and did. Kept are its places that are taken, until
-    /// the runs there have ended, and its budget: requests that were granted to the life
-    /// before may reach this one.
+    /// Forgets what is of the life before. Places taken stay until their runs have ended, and so
+    /// does the budget: requests that were granted to the life before may reach this one.
     fn begin_life(&mut self) {
         self.standing.begin_life();
         self.event_ms = None;
@@ -27,8 +26,8 @@
 }
 
 impl Replicas {
-    /// A replica started again, and no entry of its new life is known yet: it warms up for as
-    /// long as any of its service does, until one tells.
+    /// A replica started again, and no entry of its new life is known yet: until there is one it
+    /// counts as warming up for as long as replicas of its service do.
     pub fn assume_warming(&mut self, id: &str, view: &FleetView, now: Millis) {
         let unknown_until = self.unknown_until(now);
         let Some(replica) = self.by_id.get_mut(id) else {
@@ -39,21 +38,21 @@
         };
         replica.standing.warming.observe(warm_up.time_ms, 0, now);
         replica.renew_budget(view, unknown_until, now);
-        self.note_budgets(now);
+        self.index_budgets(now);
     }
 }
 
 impl Dispatcher {
-    /// Hears the lives that entries tell, before anything else of a newer view is taken.
-    /// True: a replica started again.
-    pub(crate) fn hear_entries(&mut self, now: Millis) -> bool {
+    /// Observes the lives in entries, before anything else of a newer view is applied; says
+    /// whether a replica started again.
+    pub(crate) fn observe_entries(&mut self, now: Millis) -> bool {
         let entries = Arc::clone(&self.view.replicas);
         let lives = &mut self.replicas.lives;
         lives.forget_gone(|id| entries.contains_key(id), now);
         let mut reborn = Vec::new();
         for (id, info) in entries.iter() {
-            let heard = lives.hear_entry(id, info.life, info.revision, now);
-            if matches!(heard, LifeChange::Reborn { .. }) {
+            let change = lives.hear_entry(id, info.life, info.revision, now);
+            if matches!(change, LifeChange::Reborn { .. }) {
                 reborn.push(id);
             }
         }
@@ -63,16 +62,16 @@
         !reborn.is_empty()
     }
 
-    /// A lower life counts after [`brasspond_fleet::SET_BACK_MS`] also where no entry changes
-    /// meanwhile.
-    pub(crate) fn settle_lives(&mut self, now: Millis) {
-        if self.replicas.lives.is_uncertain() && self.hear_entries(now) {
-            self.replicas.take_view(&self.view, now);
+    /// Observes the known entries again: a lower life counts after
+    /// [`brasspond_fleet::SET_BACK_MS`] also where no entry changes meanwhile.
+    pub(crate) fn recheck_lives(&mut self, now: Millis) {
+        if self.replicas.lives.is_uncertain() && self.observe_entries(now) {
+            self.replicas.apply_view(&self.view, now);
             self.placement.forget();
         }
     }
 
-    /// Whether an order to a replica is still to the life that is known.
+    /// Whether a replica is in the known life, so that an order to it still counts.
     pub fn is_present(&self, replica: &Identity) -> bool {
         self.replicas.lives.is_present(replica)
     }
@@ -81,7 +80,7 @@
     pub(crate) fn begin_life(&mut self, id: &str, now: Millis) {
         self.orders.begin_life(id, now);
         for edge in self.edges.values_mut() {
-            edge.resting.remove(id);
+            edge.idle_connections.remove(id);
         }
         if let Some(replica) = self.replicas.by_id.get_mut(id) {
             replica.begin_life();
@@ -93,16 +92,13 @@
         self.move_from_earlier_lives(id, now);
     }
 
-    /// Runs of lives before go on elsewhere: their streams are dead, or silent for good, and
-    /// it takes half a second of silence to see that (`Settings::stall_ms`).
+    /// Runs of earlier lives go on elsewhere at once: their streams are broken or send nothing
+    /// more, which would be seen only once they are stalled (`silence::is_stalled`).
     fn move_from_earlier_lives(&mut self, id: &str, now: Millis) {
         let life = self.replicas.lives.of(id);
-        let there = self.runs.by_id.iter();
-        let there =
-            there.filter(|(_, run)| run.replica == id && run.life != life && !run.cancelled);
-        let moving: Vec<AttemptId> = there.map(|(attempt, _)| *attempt).collect();
-        for attempt in moving {
-            self.hand_over(attempt, "replica_reborn", now);
-        }
+        let moving = self
+            .runs
+            .ids_where(|run| run.replica == id && run.life != life && !run.cancelled);
+        self.hand_over_all(moving, "replica_reborn", now);
     }
 }
--- a/crates/dispatch/src/replicas.rs
+++ b/crates/dispatch/src/replicas.rs
@@ -1,64 +1,72 @@
-//! What is known of each replica: its load, its speed, its faults.
+//! What is known of each replica: its load, its pace, its faults.
+//!
+//! Owns the replicas by id, with their lives, and what paces say of each service. Relies on
+//! `brasspond-eligibility` for what a replica takes, on `warming` for budgets and on `load_cost`
+//! for how paces depend on load.
 
 use crate::load_cost::{LoadCost, Means};
+use crate::retry;
 use crate::warming::Warming;
 use brasspond_eligibility::{Standing, Weights, Work};
-use brasspond_fleet::{FleetView, Lives, Regions};
+use brasspond_fleet::{FleetView, Lives, Regions, ReplicaInfo};
 use brasspond_units::Millis;
 use brasspond_warmup::Budget;
 use std::collections::{BTreeMap, HashMap};
 
-/// First pause after a fault of a replica, in ms; it doubles with each more.
-const FIRST_PAUSE: Millis = 150;
-/// Longest pause, in ms.
-const LONGEST_PAUSE: Millis = 2_000;
-/// Weight of a new speed against what was known.
-const SPEED_WEIGHT: f64 = 0.3;
-/// Time after a load in which runs still tell of the pause it made, in ms.
-const AFTER_LOAD: Millis = 400;
-
-/// A replica. Of its id are places taken, the budget and what goes with it; the entry says
-/// anew where it stands; all else is of its present life (`Replica::begin_life`).
+/// Weight of a new pace against what was known, 0 to 1: some five reports replace it. Not
+/// measured.
+const PACE_WEIGHT: f64 = 0.3;
+/// Time after a load in which paces still contain the pause it made, in ms: one report of an
+/// edge (250 ms) and its way. Not measured (docs/design/0023-time-of-calls-and-peaks.md).
+const PACE_VOID_AFTER_LOAD: Millis = 400;
+
+/// A replica. Places taken and the budget are of its id; where it is and what it serves is
+/// renewed by each entry; all else is of its present life (`Replica::begin_life`).
 #[derive(Clone, Debug)]
 pub(crate) struct Replica {
     /// What decides whether it takes work at all.
     pub standing: Standing,
+    /// Runs that it serves at a time.
     pub slots: usize,
     /// It was given notice, and is gone soon.
-    pub leaves: bool,
+    pub is_departing: bool,
+    /// Runs that were ordered there and have not ended.
     pub running: usize,
-    /// Milliseconds an event takes while nothing else runs; none before any was seen.
+    /// Milliseconds an event takes while nothing else runs; none before any pace was seen.
     pub event_ms: Option<f64>,
-    /// Its paces and fill lately.
+    /// Means of its paces and of its fill.
     pub means: Option<Means>,
+    /// Faults since it was last seen to make events.
     pub faults: u32,
+    /// Until when it is given nothing after a fault.
     pub paused_until: Millis,
-    /// Paces told earlier say nothing: it loaded, or warmed up.
+    /// Paces reported before this moment do not count: it loaded or warmed up.
     pub paced_from: Millis,
     /// What it may be sent while it warms up; none: it never warmed up here, or its service
-    /// names no bound.
+    /// has no bound.
     pub budget: Option<Budget>,
-    /// Until when the budget is kept to.
+    /// Until when the budget applies.
     pub bounded_until: Millis,
     /// An earlier view had it too: it may have been sent requests.
-    pub is_old: bool,
+    pub was_listed: bool,
 }
 
 /// All replicas by id.
 #[derive(Debug, Default)]
 pub(crate) struct Replicas {
     pub by_id: BTreeMap<String, Replica>,
-    /// Median time of an event by service, as of the last tick.
+    /// Median time of an event by service in ms, as of the last tick.
     typical: HashMap<String, f64>,
-    /// What a full replica costs, by service.
+    /// How much slower a full replica is, by service.
     load_costs: HashMap<String, LoadCost>,
     /// Those that warm up.
     pub warming: Warming,
-    /// The newest life of each that was heard of.
+    /// The newest known life of each.
     pub lives: Lives,
 }
 
 /// What a run asks of a replica.
+#[derive(Clone, Copy)]
 pub(crate) struct Need<'a> {
     pub service: &'a str,
     pub regions: &'a Regions,
@@ -69,8 +77,8 @@
 }
 
 impl<'a> Need<'a> {
-    /// What is asked on every way to a replica. An item of a held content is withheld
-    /// before any replica is looked for.
+    /// The same as the eligibility check takes it. Items of quarantined contents are withheld
+    /// before a replica is chosen, so none is quarantined here.
     pub fn work(&self, now: Millis) -> Work<'a> {
         Work {
             service: self.service,
@@ -88,9 +96,9 @@
 }
 
 impl Replicas {
-    /// Takes a newer view whose lives were heard; an entry of an earlier life allows
-    /// nothing.
-    pub fn take_view(&mut self, view: &FleetView, now: Millis) {
+    /// Applies a newer view whose lives were observed. An entry of an earlier life only forbids
+    /// requests. A replica without an entry is kept while runs or grants of it count.
+    pub fn apply_view(&mut self, view: &FleetView, now: Millis) {
         let unknown_until = self.unknown_until(now);
         self.by_id.retain(|id, replica| {
             let is_listed = view.replicas.contains_key(id);
@@ -109,31 +117,21 @@
             }
             let replica = match self.by_id.get_mut(id) {
                 Some(known) => known,
-                None => self.by_id.entry(id.clone()).or_insert(Replica {
-                    standing: Standing::new(info, view, now),
-                    slots: info.slots as usize,
-                    leaves: false,
-                    running: 0,
-                    event_ms: None,
-                    means: None,
-                    faults: 0,
-                    paused_until: 0,
-                    paced_from: 0,
-                    budget: None,
-                    bounded_until: 0,
-                    is_old: false,
-                }),
+                None => {
+                    let replica = Replica::new(info, view, now);
+                    self.by_id.entry(id.clone()).or_insert(replica)
+                }
             };
             replica.standing.renew(info, view, now);
             replica.renew_budget(view, unknown_until, now);
-            replica.is_old = true;
-            replica.leaves = info.notice_ms.is_some();
+            replica.was_listed = true;
+            replica.is_departing = info.notice_ms.is_some();
             replica.slots = info.slots as usize;
         }
-        self.note_budgets(now);
+        self.index_budgets(now);
     }
 
-    /// What a full replica of a service costs.
+    /// How much slower a full replica of a service is.
     pub fn load_cost(&self, service: &str) -> LoadCost {
         self.load_costs.get(service).copied().unwrap_or_default()
     }
@@ -152,62 +150,65 @@
         self.typical.get(service).copied()
     }
 
-    /// Takes the medians anew: once a tick, not at each placement.
+    /// Computes the medians: once a tick, as a median takes a pass over the fleet.
     pub fn renew_typical(&mut self) {
-        let mut speeds: HashMap<&str, Vec<f64>> = HashMap::new();
+        let mut paces: HashMap<&str, Vec<f64>> = HashMap::new();
         for replica in self.by_id.values() {
             if let Some(event_ms) = replica.event_ms {
-                speeds
+                paces
                     .entry(&replica.standing.service)
                     .or_default()
                     .push(event_ms);
             }
         }
-        let medians = speeds.into_iter().map(|(service, mut speeds)| {
-            speeds.sort_by(f64::total_cmp);
-            (service.to_string(), speeds[speeds.len() / 2])
+        let medians = paces.into_iter().map(|(service, mut paces)| {
+            paces.sort_by(f64::total_cmp);
+            (service.to_string(), paces[paces.len() / 2])
         });
         self.typical = medians.collect();
     }
 
-    pub fn note_speed(&mut self, id: &str, event_ms: f64, now: Millis) {
-        if let Some(replica) = self.by_id.get_mut(id) {
-            if now < replica.paced_from {
-                return;
-            }
-            let fill = replica.fill();
-            let service = &*replica.standing.service;
-            let load_cost = match self.load_costs.get_mut(service) {
-                Some(load_cost) => load_cost,
-                None => self.load_costs.entry(service.to_string()).or_default(),
-            };
-            load_cost.note(&mut replica.means, event_ms, fill);
-            let alone = event_ms / load_cost.factor(fill);
-            let known = replica.event_ms.unwrap_or(alone);
-            replica.event_ms = Some(known + SPEED_WEIGHT * (alone - known));
-            replica.faults = 0;
+    /// An event of a replica took `event_ms` ms, by the edge's clock; counts as the end of its
+    /// faults.
+    pub fn record_pace(&mut self, id: &str, event_ms: f64, now: Millis) {
+        let Some(replica) = self.by_id.get_mut(id) else {
+            return;
+        };
+        if now < replica.paced_from {
+            return;
         }
+        let fill = replica.fill();
+        let service = &*replica.standing.service;
+        let load_cost = match self.load_costs.get_mut(service) {
+            Some(load_cost) => load_cost,
+            None => self.load_costs.entry(service.to_string()).or_default(),
+        };
+        load_cost.observe(&mut replica.means, event_ms, fill);
+        let unloaded = event_ms / load_cost.factor(fill);
+        let known = replica.event_ms.unwrap_or(unloaded);
+        replica.event_ms = Some(known + PACE_WEIGHT * (unloaded - known));
+        replica.faults = 0;
     }
 
-    pub fn note_fault(&mut self, id: &str, now: Millis) {
+    /// A replica is given nothing for the pause after a fault.
+    pub fn record_fault(&mut self, id: &str, now: Millis) {
         if let Some(replica) = self.by_id.get_mut(id) {
-            let pause = FIRST_PAUSE << replica.faults.min(4);
+            replica.paused_until = now + retry::fault_pause(replica.faults);
             replica.faults += 1;
-            replica.paused_until = now + pause.min(LONGEST_PAUSE);
         }
     }
 
-    /// A replica told which versions it holds, and nothing else is known of it.
-    pub fn set_versions(&mut self, id: &str, told: &[(String, u64)]) {
+    /// A replica of a new life reported its versions: there are no others.
+    pub fn replace_versions(&mut self, id: &str, reported: &[(String, u64)]) {
         if let Some(replica) = self.by_id.get_mut(id) {
-            replica.standing.versions = told.iter().cloned().collect();
+            replica.standing.versions = reported.iter().cloned().collect();
         }
     }
 
-    /// A stream showed that a replica does not hold a version. Where it tells no life, or told
-    /// none yet, it may have lost it with its start: until this was noted, an item of that
-    /// version was sent there every 2 s for good, and no load was due.
-    pub fn disprove(&mut self, id: &str, model: &str, version: u64) {
+    /// A stream showed that a replica does not serve a version: it may have started again
+    /// without reporting a life. Without this its items would be sent there for ever, and no load
+    /// would be due.
+    pub fn forget_version(&mut self, id: &str, model: &str, version: u64) {
         if let Some(replica) = self.by_id.get_mut(id) {
             let versions = &mut replica.standing.versions;
             if versions.get(model).is_some_and(|known| *known >= version) {
@@ -216,10 +217,10 @@
         }
     }
 
-    /// A replica holds a version; its runs stood still while it loaded.
+    /// A replica loaded a version; its runs were paused meanwhile.
     pub fn set_version(&mut self, id: &str, model: &str, version: u64, now: Millis) {
         if let Some(replica) = self.by_id.get_mut(id) {
-            replica.paced_from = now + AFTER_LOAD;
+            replica.paced_from = now + PACE_VOID_AFTER_LOAD;
             let versions = &mut replica.standing.versions;
             versions.insert(model.to_string(), version);
         }
@@ -227,8 +228,30 @@
 }
 
 impl Replica {
-    /// Part of its places that are taken, 0 to 1.
+    fn new(info: &ReplicaInfo, view: &FleetView, now: Millis) -> Self {
+        Self {
+            standing: Standing::new(info, view, now),
+            slots: info.slots as usize,
+            is_departing: false,
+            running: 0,
+            event_ms: None,
+            means: None,
+            faults: 0,
+            paused_until: 0,
+            paced_from: 0,
+            budget: None,
+            bounded_until: 0,
+            was_listed: false,
+        }
+    }
+
+    /// Part of its slots that are taken, 0 to 1.
     pub fn fill(&self) -> f64 {
         self.running as f64 / self.slots.max(1) as f64
     }
+
+    /// The version of a model that it serves; 0: none, older than any.
+    pub fn version_of(&self, model: &str) -> u64 {
+        self.standing.versions.get(model).copied().unwrap_or(0)
+    }
 }
--- a/crates/dispatch/src/residency.rs
+++ b/crates/dispatch/src/residency.rs
@@ -1,13 +1,14 @@
 //! Where the data of jobs may be: what their routes, tenants and scoring calls allow.
 //!
-//! A job's log entries hold the bodies of its items and of their scoring calls, so whoever
-//! keeps the log, and whatever edge runs an item, must stand where both may be. The replica
-//! of an item sees no more than the item's body.
+//! Owns nothing. A job's log entries have the bodies of its items and of their scoring calls, so
+//! processes that keep the log, and edges that run an item, must be where both may be. The replica
+//! of an item is sent the item's body alone.
 
 use crate::dispatcher::Dispatcher;
-use brasspond_cluster_protocol::AttemptId;
+use crate::runs::Run;
 use brasspond_fleet::{Configuration, FleetView, Regions, Route, RouteKind};
 use brasspond_jobs::{Item, Job, JobTable};
+use brasspond_units::Millis;
 use std::collections::BTreeSet;
 
 /// Whether a configuration binds any data to regions.
@@ -82,35 +83,28 @@
 }
 
 impl Dispatcher {
-    /// Runs at replicas or edges outside their regions, as a newer configuration has them,
-    /// end and go on inside; those of one edge alone where one is named.
-    pub(crate) fn move_inside(&mut self, edge: Option<&str>, now: u64) {
-        let is_meant = |machine: &str| edge.is_none_or(|edge| edge == machine);
-        let runs = self.runs.by_id.iter();
-        let outside = runs
-            .filter(|(_, run)| is_meant(&run.machine))
-            .filter(|(_, run)| {
-                let job = self.jobs.jobs.get(&run.job);
-                let Some(route) = job.and_then(|job| job.route.as_ref()) else {
-                    return false;
-                };
-                let replica = self.replicas.by_id.get(&run.replica);
-                let replica = replica.and_then(|one| one.standing.region.as_deref());
-                let is_inside = route.regions.allows(replica)
-                    && self.is_edge_inside(&run.machine, &route.bodies);
-                !run.cancelled && !is_inside
-            });
-        let outside: Vec<AttemptId> = outside.map(|(attempt, _)| *attempt).collect();
+    /// Runs and scorings at replicas or edges outside their regions, by the present
+    /// configuration, go on inside; only those of `edge` where one is named.
+    pub(crate) fn move_inside(&mut self, edge: Option<&str>, now: Millis) {
+        let outside = self.runs.ids_where(|run| {
+            let is_meant = edge.is_none_or(|edge| edge == run.machine);
+            is_meant && !run.cancelled && self.is_outside(run)
+        });
         for attempt in outside {
             self.move_run(attempt, "outside_regions", now);
         }
         self.move_scorings_inside(edge, now);
     }
 
-    /// Whether an edge may hold bodies that are bound to these regions.
-    pub(crate) fn is_edge_inside(&self, machine: &str, bodies: &Regions) -> bool {
-        let edge = self.edges.get(machine);
-        let region = edge.and_then(|edge| edge.region.as_deref());
-        bodies.allows(region)
+    /// Whether a run's replica or edge is outside its regions; not where its job has no route,
+    /// which binds it to none.
+    fn is_outside(&self, run: &Run) -> bool {
+        let job = self.jobs.jobs.get(&run.job);
+        let Some(route) = job.and_then(|job| job.route.as_ref()) else {
+            return false;
+        };
+        let replica = self.replicas.by_id.get(&run.replica);
+        let region = replica.and_then(|one| one.standing.region.as_deref());
+        !route.regions.allows(region) || !self.is_edge_inside(&run.machine, &route.bodies)
     }
 }
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -1,32 +1,35 @@
 //! Whole texts that wait for their scores.
 //!
-//! The edge that ran an item makes its scoring call as soon as the text is whole;
-//! meanwhile the text goes into the log. Where that edge is lost, or its call
-//! finds no answer, another edge is ordered to score the text that the log holds.
-//! A score counts only from the edge that is expected to tell it, so a text has
-//! one; and every call to be counted was made after the text was whole.
+//! Owns the scorings under way. The edge that ran an item makes its scoring call as soon as the
+//! text is whole; meanwhile the text goes into the log. Where that edge is lost, or its call
+//! finds no answer, another edge is ordered to score the text that the log keeps.
+//!
+//! A score counts only from the edge that is expected to report it, so a text has one score; and
+//! each call that counts was made after the text was whole.
 
-use crate::dispatcher::{Action, Dispatcher};
-use crate::jobs::{State, draft_of};
+use crate::action::Action;
+use crate::dispatcher::Dispatcher;
+use crate::earlier_texts::draft_of;
+use crate::jobs::State;
 use crate::runs::Run;
-use crate::withheld::SCORING_PAUSE;
+use crate::withheld::QUARANTINE_RECHECK_PAUSE;
 use brasspond_cluster_protocol::{AttemptId, RunReport, ScoringEnd, ScoringSpec};
 use brasspond_fleet::FleetView;
 use brasspond_jobs::{JobTable, Score, ScoringCall};
 use brasspond_units::Millis;
 use std::collections::BTreeMap;
 
-/// Time beyond that of a call for an edge to tell its score before another edge is ordered,
-/// in ms: messages both ways, and a pause between two attempts.
-const MARGIN: Millis = 200;
-/// Time of a call to which no route leads, in ms: its edge hands it back after as long, so this
-/// must be no less than the edge's.
-const UNROUTED: Millis = 1_000;
-/// A call that ends unanswered has had all its time if no more than this was left of it, in
-/// ms: no attempt is begun in less than the longest pause between two.
-const LITTLE: Millis = 200;
-/// Pause before a text that found no answer is scored again, in ms.
-const PAUSE: Millis = 150;
+/// Time beyond that of a call for an edge to report its score before another edge is ordered, in
+/// ms: messages both ways, and a pause of the edge between two attempts (160 ms at most).
+const SCORE_MARGIN: Millis = 200;
+/// Time of a call to which no route leads, in ms: the edge hands it back after its `ROUTE_TIME`
+/// (`crates/cluster/src/edge/scoring.rs`), so this must be no less.
+const UNROUTED_CALL_TIMEOUT: Millis = 1_000;
+/// A call that ends unanswered has had all its time if no more than this was left of it, in ms:
+/// an edge begins no attempt with less left than its longest pause between two (160 ms).
+const RUN_OUT_SLACK: Millis = 200;
+/// Pause before a text that found no answer or no edge is scored again, in ms. Not measured.
+const SCORING_RETRY_PAUSE: Millis = 150;
 
 /// A scoring under way.
 #[derive(Clone, Debug)]
@@ -35,21 +38,21 @@
     job: String,
     item: u32,
     since: Millis,
-    /// Time for the call, in ms, once it was looked up.
+    /// Time for the call, in ms; none until the next tick looks it up.
     time: Option<Millis>,
 }
 
 impl Scoring {
-    /// Whether another edge is to be ordered.
+    /// Whether another edge is to be ordered: the call's time and the margin have passed.
     fn is_late(&self, now: Millis) -> bool {
         let time = self.time;
-        time.is_some_and(|time| now >= self.since + time + MARGIN)
+        time.is_some_and(|time| now >= self.since + time + SCORE_MARGIN)
     }
 
-    /// Whether all the time for the call has passed.
+    /// Whether the call has had all its time, but for [`RUN_OUT_SLACK`]: the next one is told so.
     fn has_run_out(&self, now: Millis) -> bool {
         let time = self.time;
-        time.is_some_and(|time| now + LITTLE >= self.since + time)
+        time.is_some_and(|time| now + RUN_OUT_SLACK >= self.since + time)
     }
 }
 
@@ -65,19 +68,25 @@
     }
 
     /// Whether this run or order scores a text.
-    pub fn holds(&self, attempt: AttemptId) -> bool {
+    pub fn contains(&self, attempt: AttemptId) -> bool {
         self.by_id.contains_key(&attempt)
     }
 
     /// Scorings at an edge.
-    fn at(&self, machine: &str) -> usize {
-        let held = self.by_id.values();
-        held.filter(|one| one.machine == machine).count()
+    pub fn at_edge(&self, machine: &str) -> usize {
+        let scorings = self.by_id.values();
+        scorings.filter(|one| one.machine == machine).count()
+    }
+
+    /// Scorings that meet a condition.
+    fn ids_where(&self, condition: impl Fn(&Scoring) -> bool) -> Vec<AttemptId> {
+        let chosen = self.by_id.iter().filter(|(_, one)| condition(one));
+        chosen.map(|(attempt, _)| *attempt).collect()
     }
 }
 
 impl Dispatcher {
-    /// A text is whole: it is kept, and its edge scores it.
+    /// A text is whole: the log keeps it, and its edge scores it.
     pub(crate) fn begin_scoring(
         &mut self,
         attempt: AttemptId,
@@ -87,7 +96,7 @@
     ) {
         let draft = draft_of(&run.job, run.item, &run.events, run.kept);
         self.actions.push(Action::Keep(draft));
-        self.jobs.note_text(&run.job, run.item, &run.item_id);
+        self.jobs.texts.record(&run.job, run.item, &run.item_id);
         self.set_state(&run.job, run.item, State::Scoring(Some(attempt)));
         let scoring = Scoring {
             machine: machine.to_string(),
@@ -99,6 +108,8 @@
         self.scorings.by_id.insert(attempt, scoring);
     }
 
+    /// An edge reported how a scoring ended. Unanswered calls are ordered again without limit but
+    /// for the item's time in the queue.
     pub(crate) fn on_scored(
         &mut self,
         machine: &str,
@@ -118,13 +129,10 @@
             now - scoring.since,
             scoring.time
         );
+        let ending = State::Ending(Some((attempt, machine.to_string())));
         match end {
             ScoringEnd::Scored(score) => {
-                self.set_state(
-                    &scoring.job,
-                    scoring.item,
-                    State::Ending(Some((attempt, machine.to_string()))),
-                );
+                self.set_state(&scoring.job, scoring.item, ending);
                 self.actions.push(Action::ListScored(Score {
                     job: scoring.job,
                     item: scoring.item,
@@ -132,17 +140,13 @@
                 }));
             }
             ScoringEnd::Failed => {
-                self.set_state(
-                    &scoring.job,
-                    scoring.item,
-                    State::Ending(Some((attempt, machine.to_string()))),
-                );
+                self.set_state(&scoring.job, scoring.item, ending);
                 self.terminate(&scoring.job, scoring.item);
             }
             ScoringEnd::Unanswered => {
                 self.recorded(machine, attempt);
-                self.note_unanswered(&scoring, now);
-                let from = now + PAUSE;
+                self.record_unanswered(&scoring, now);
+                let from = now + SCORING_RETRY_PAUSE;
                 self.jobs.wait_for_score(&scoring.job, scoring.item, from);
             }
         }
@@ -150,47 +154,40 @@
 
     /// Orders edges to score the texts that no edge scores.
     pub(crate) fn start_scorings(&mut self, table: &JobTable, now: Millis) {
-        if now < self.began + self.settings.adopt_ms {
+        if self.is_adopting(now) {
             return;
         }
         for (job, item) in self.jobs.take_unscored(now) {
-            if self.is_scoring_held(&job, item, table) {
-                self.jobs.wait_for_score(&job, item, now + SCORING_PAUSE);
+            if self.is_scoring_quarantined(&job, item, table) {
+                self.jobs
+                    .wait_for_score(&job, item, now + QUARANTINE_RECHECK_PAUSE);
             } else if !self.start_scoring(&job, item, table, now) {
-                self.jobs.wait_for_score(&job, item, now + PAUSE);
+                self.jobs
+                    .wait_for_score(&job, item, now + SCORING_RETRY_PAUSE);
             }
         }
     }
 
-    /// Whether an edge was ordered.
+    /// Orders an edge to score an item's text; false: none may, or the item has no scoring call.
     fn start_scoring(&mut self, id: &str, item: u32, table: &JobTable, now: Millis) -> bool {
         let stored = table.job(id).and_then(|job| job.items.get(item as usize));
         let Some((stored, call)) = stored.and_then(|one| Some((one, one.scoring.as_ref()?))) else {
             return false;
         };
-        let route = self.jobs.jobs.get(id).and_then(|job| job.route.as_ref());
+        let job = self.jobs.jobs.get(id);
+        // Without a route the job is bound to no region.
+        let route = job.and_then(|job| job.route.as_ref());
         let (regions, bodies) = route.map_or_else(Default::default, |route| {
             (route.regions.clone(), route.bodies.clone())
         });
-        let taking = self.edges.iter();
-        let taking =
-            taking.filter(|(_, edge)| !edge.draining && bodies.allows(edge.region.as_deref()));
-        // Runs alone do not tell how busy an edge is here: all texts of a lost edge, 24 of one
-        // job, went to the one with the fewest runs, a silent one.
-        let least = taking.min_by_key(|(machine, edge)| {
-            let calls = self.scorings.at(machine);
-            (edge.is_quiet(now), edge.running + calls)
-        });
-        let Some((machine, _)) = least else {
+        let timed_out_calls = job.map_or(0, |job| job.items[item as usize].timed_out_calls);
+        let Some(machine) = self.choose_scoring_edge(&bodies, now) else {
             return false;
         };
-        let machine = machine.clone();
         let attempt = self.runs.next_id(self.term);
         let time = call_time(&self.view, call);
-        let job = self.jobs.jobs.get(id);
-        let ran_out = job.map_or(0, |job| job.items[item as usize].ran_out);
         log::info!(
-            "event=scoring_ordered job={id} item={} attempt={attempt} edge={machine} request={} ran_out={ran_out} time_ms={time}",
+            "event=scoring_ordered job={id} item={} attempt={attempt} edge={machine} request={} ran_out={timed_out_calls} time_ms={time}",
             stored.id,
             call.id
         );
@@ -200,7 +197,7 @@
             item_id: stored.id.clone(),
             call: call.clone(),
             regions,
-            ran_out,
+            ran_out: timed_out_calls,
         };
         self.set_state(id, item, State::Scoring(Some(attempt)));
         let scoring = Scoring {
@@ -218,32 +215,17 @@
         true
     }
 
-    /// An edge that came back tells of a scoring that was never given up.
-    pub(crate) fn refresh_scoring(
-        &mut self,
-        machine: &str,
-        attempt: AttemptId,
-        end: Option<ScoringEnd>,
-        now: Millis,
-    ) {
-        if let Some(end) = end {
-            self.on_scored(machine, attempt, end, now);
-        }
-    }
-
-    /// Scorings that an edge which came back, or is out of reach, does not tell
-    /// of: other edges are ordered.
-    pub(crate) fn forget_untold_scorings(
+    /// Scorings that an edge which came back, or is out of reach, did not report are ordered from
+    /// other edges.
+    pub(crate) fn forget_unreported_scorings(
         &mut self,
         machine: &str,
-        told: &[RunReport],
+        reported: &[RunReport],
         now: Millis,
     ) {
-        let is_told = |attempt: &AttemptId| told.iter().any(|one| one.attempt == *attempt);
-        let held = self.scorings.by_id.iter();
-        let untold = held.filter(|(id, one)| one.machine == machine && !is_told(id));
-        let untold: Vec<AttemptId> = untold.map(|(attempt, _)| *attempt).collect();
-        for attempt in untold {
+        let is_reported = |attempt: AttemptId| reported.iter().any(|one| one.attempt == attempt);
+        let there = self.scorings.ids_where(|one| one.machine == machine);
+        for attempt in there.into_iter().filter(|id| !is_reported(*id)) {
             self.repeat_scoring(attempt, now);
         }
     }
@@ -254,49 +236,45 @@
             if scoring.time.is_none() {
                 let call = call_of(table, &scoring.job, scoring.item);
                 let time = call.map(|call| call_time(&self.view, call));
-                scoring.time = Some(time.unwrap_or(UNROUTED));
+                scoring.time = Some(time.unwrap_or(UNROUTED_CALL_TIMEOUT));
             }
         }
-        let held = self.scorings.by_id.iter();
-        let late = held.filter(|(_, one)| one.is_late(now));
-        let late: Vec<AttemptId> = late.map(|(attempt, _)| *attempt).collect();
-        for attempt in late {
+        for attempt in self.scorings.ids_where(|one| one.is_late(now)) {
             self.repeat_scoring(attempt, now);
         }
     }
 
-    /// Scorings at edges outside their regions are ordered from others; those at one edge
-    /// alone where one is named.
+    /// Scorings at edges outside their regions are ordered from others; only those at `edge`
+    /// where one is named.
     pub(crate) fn move_scorings_inside(&mut self, edge: Option<&str>, now: Millis) {
-        let held = self.scorings.by_id.iter();
-        let held = held.filter(|(_, one)| edge.is_none_or(|edge| edge == one.machine));
-        let outside = held.filter(|(_, one)| {
+        let outside = self.scorings.ids_where(|one| {
             let job = self.jobs.jobs.get(&one.job);
             let route = job.and_then(|job| job.route.as_ref());
-            route.is_some_and(|route| !self.is_edge_inside(&one.machine, &route.bodies))
+            let is_meant = edge.is_none_or(|edge| edge == one.machine);
+            is_meant && route.is_some_and(|route| !self.is_edge_inside(&one.machine, &route.bodies))
         });
-        let outside: Vec<AttemptId> = outside.map(|(attempt, _)| *attempt).collect();
         for attempt in outside {
             self.repeat_scoring(attempt, now);
         }
     }
 
-    /// What a call that found no answer tells of the next one for its text.
-    fn note_unanswered(&mut self, scoring: &Scoring, now: Millis) {
+    /// Counts a call that had all its time and found no answer.
+    fn record_unanswered(&mut self, scoring: &Scoring, now: Millis) {
         if !scoring.has_run_out(now) {
             return;
         }
         if let Some(job) = self.jobs.jobs.get_mut(&scoring.job) {
-            job.items[scoring.item as usize].ran_out += 1;
+            job.items[scoring.item as usize].timed_out_calls += 1;
         }
     }
 
+    /// Has a text scored again, by whichever edge is chosen at the next event.
     fn repeat_scoring(&mut self, attempt: AttemptId, now: Millis) {
         let Some(scoring) = self.scorings.by_id.get(&attempt).cloned() else {
             return;
         };
         self.forget_scoring(attempt);
-        self.note_unanswered(&scoring, now);
+        self.record_unanswered(&scoring, now);
         self.jobs.wait_for_score(&scoring.job, scoring.item, now);
     }
 
@@ -333,9 +311,9 @@
     item.scoring.as_ref()
 }
 
-/// Time for a call, in ms: as long as its route allows a request to be held.
+/// Time for a call, in ms: the time-out of its route.
 fn call_time(view: &FleetView, call: &ScoringCall) -> Millis {
     let configuration = view.configuration.as_ref();
     let route = configuration.and_then(|one| one.route(&call.host, &call.path));
-    route.map_or(UNROUTED, |route| route.timeout_ms.max(1))
+    route.map_or(UNROUTED_CALL_TIMEOUT, |route| route.timeout_ms.max(1))
 }
--- /dev/null
+++ b/crates/dispatch/src/silence.rs
@@ -0,0 +1,79 @@
+//! When something counts as silent for too long: runs, hand-overs, edges and this process.
+//!
+//! Pure rules without state. Silence is counted from the last message that arrived, in ms of
+//! the leader's clock.
+
+use brasspond_units::Millis;
+
+/// Pause between two reports of an edge on its runs, in ms (docs/CAPACITY.md, what an edge
+/// sends).
+const EDGE_REPORT_PAUSE: Millis = 250;
+/// Pause between two heartbeats of an edge, in ms (docs/CAPACITY.md, what an edge sends).
+const EDGE_HEARTBEAT_PAUSE: Millis = 500;
+/// Silence of a run after which another replica goes on with it, in ms: two reports, so that
+/// one may be late. It does not follow the replica's pace: a run whose events take longer than
+/// this is moved again and again (docs/FINDINGS.md).
+const STALLED_AFTER: Millis = 2 * EDGE_REPORT_PAUSE;
+/// Times [`STALLED_AFTER`] while the run's replica loads weights: a load pauses its runs, for
+/// about 0.9 s (docs/design/0016-large-fleets.md).
+const LOADING_FACTOR: Millis = 4;
+/// Times [`STALLED_AFTER`] while the run's edge is silent too: nothing says then that the
+/// replica is at fault, and a lost edge is reported as such.
+const SILENT_EDGE_FACTOR: Millis = 2;
+/// An edge reports all its runs within this time, in ms; what arrives later belongs to another
+/// report. Not measured.
+const SAME_REPORT: Millis = 50;
+/// Longest time to wait for the last events of a run that is handed over, in ms: an answer
+/// takes 1 to 7 ms (docs/design/0014-placement-and-sight.md), and one that is lost comes again
+/// with the edge's next report ([`EDGE_REPORT_PAUSE`]) and its way here.
+const HAND_OVER_TIMEOUT: Millis = 300;
+/// An edge is silent after this time without a message, in ms: two heartbeats are missing.
+const EDGE_SILENT_AFTER: Millis = 2 * EDGE_HEARTBEAT_PAUSE;
+/// Time without a tick after which this process was suspended, in ms: a leader ticks each
+/// 100 ms, so that three ticks are missing, and less than [`STALLED_AFTER`].
+const SUSPENDED_AFTER: Millis = 350;
+
+/// Whether an edge reported after a run was heard of last, so that the run's silence is the
+/// replica's. Inputs: when a message of the edge and one on the run arrived last.
+pub(crate) fn edge_reported_since(edge_heard_at: Millis, run_heard_at: Millis) -> bool {
+    edge_heard_at > run_heard_at + SAME_REPORT
+}
+
+/// Whether a run is stalled. `is_loading`: its replica loads weights or is about to.
+/// `edge_reported`: see [`edge_reported_since`]; false also where the edge is not known.
+pub(crate) fn is_stalled(
+    run_heard_at: Millis,
+    is_loading: bool,
+    edge_reported: bool,
+    now: Millis,
+) -> bool {
+    let limit = match (is_loading, edge_reported) {
+        (true, _) => LOADING_FACTOR * STALLED_AFTER,
+        (false, true) => STALLED_AFTER,
+        (false, false) => SILENT_EDGE_FACTOR * STALLED_AFTER,
+    };
+    now >= run_heard_at + limit
+}
+
+/// Whether the last events of a run that is handed over since `since` are waited for no more.
+/// The item goes on from what is known.
+pub(crate) fn is_hand_over_late(since: Millis, now: Millis) -> bool {
+    now >= since + HAND_OVER_TIMEOUT
+}
+
+/// Whether an edge is given work only where all are silent. Being silent takes nothing from it:
+/// its runs go on, and it counts as lost only once its link is.
+pub(crate) fn is_edge_silent(heard_at: Millis, now: Millis) -> bool {
+    now >= heard_at + EDGE_SILENT_AFTER
+}
+
+/// How long this process was suspended before a tick, in ms, if it was. Messages that arrived
+/// meanwhile are still unread, so that the time says nothing of edges and runs.
+pub(crate) fn suspended_for(ticked_at: Millis, now: Millis) -> Option<Millis> {
+    let gap = now.saturating_sub(ticked_at);
+    (gap >= SUSPENDED_AFTER).then_some(gap)
+}
+
+#[cfg(test)]
+#[path = "../tests/unit/silence.rs"]
+mod tests;
--- a/crates/dispatch/src/takeover.rs
+++ b/crates/dispatch/src/takeover.rs
@@ -1,6 +1,11 @@
-//! Runs that edges hold when they come, come back or are lost.
+//! Runs that edges have when they come, come back or are lost.
+//!
+//! Owns nothing. A new leader knows no runs: each edge registers with a list of all that it has,
+//! and those of items that wait are adopted.
 
-use crate::dispatcher::{Action, Dispatcher};
+use crate::action::Action;
+use crate::dispatcher::Dispatcher;
+use crate::edges::Edge;
 use crate::jobs::State;
 use crate::runs::Run;
 use brasspond_cluster_protocol::{AttemptId, RunEnd, RunReport, ScoringEnd, StreamEvent};
@@ -12,37 +17,89 @@
     pairs.take_while(|(one, other)| one == other).count()
 }
 
+/// What is done with a run that an edge has.
+#[derive(Debug, PartialEq, Eq)]
+enum Adoption {
+    /// Its item waits: the run goes on as the item's. Or another run of the item is under way
+    /// here, which this one replaces as its text is whole.
+    Adopt { replaces: Option<AttemptId> },
+    /// It is known here as the item's run.
+    Refresh,
+    /// It is known here as the item's scoring.
+    RefreshScoring,
+    /// Nothing needs it: its item is unknown, ended, withheld or run elsewhere.
+    Cancel,
+}
+
+/// What is done with a run that an edge has. `state`: of its item; none: unknown here.
+fn adoption(state: Option<&State>, attempt: AttemptId, is_whole: bool) -> Adoption {
+    match state {
+        Some(State::Waiting) => Adoption::Adopt { replaces: None },
+        Some(State::Running(known)) if *known == attempt => Adoption::Refresh,
+        Some(State::Running(known)) if is_whole => Adoption::Adopt {
+            replaces: Some(*known),
+        },
+        Some(State::Scoring(Some(known))) if *known == attempt => Adoption::RefreshScoring,
+        _ => Adoption::Cancel,
+    }
+}
+
 impl Dispatcher {
-    /// A new leader takes over a run that an edge holds.
-    pub(crate) fn adopt(&mut self, machine: &str, report: RunReport, now: Millis) {
+    /// An edge registered with all runs that it has.
+    pub(crate) fn on_edge_up(
+        &mut self,
+        machine: String,
+        edge: Edge,
+        runs: Vec<RunReport>,
+        now: Millis,
+    ) {
+        self.abandon_unreported(&machine, &runs);
+        self.forget_unreported_scorings(&machine, &runs, now);
+        self.edges.insert(machine.clone(), edge);
+        for report in runs {
+            self.adopt(&machine, report, now);
+        }
+        let runs = self.runs.by_id.values();
+        let running = runs.filter(|run| run.machine == machine).count();
+        if let Some(edge) = self.edges.get_mut(&machine) {
+            edge.running = running;
+        }
+        // A leader that knew an older configuration may have started its runs.
+        self.move_inside(Some(&machine), now);
+    }
+
+    /// Does with a run that an edge has what [`adoption`] says.
+    fn adopt(&mut self, machine: &str, report: RunReport, now: Millis) {
         let attempt = report.attempt;
-        let state = self.jobs.jobs.get(&report.job).and_then(|job| {
-            let item = job.items.get(report.item as usize)?;
-            Some(item.state.clone())
-        });
+        let job = self.jobs.jobs.get(&report.job);
+        let item = job.and_then(|job| job.items.get(report.item as usize));
         let is_whole = report.end == Some(RunEnd::Whole);
-        match state {
-            Some(State::Waiting) => self.jobs.take_waiting(&report.job, report.item),
-            Some(State::Running(other)) if is_whole && other != attempt => self.cancel(other),
-            Some(State::Running(other)) if other == attempt => {
-                self.refresh(machine, report, now);
-                return;
+        match adoption(item.map(|item| &item.state), attempt, is_whole) {
+            Adoption::Adopt { replaces } => {
+                match replaces {
+                    Some(other) => self.cancel(other),
+                    None => self.jobs.take_waiting(&report.job, report.item),
+                }
+                self.add_adopted(machine, report, now);
             }
-            Some(State::Scoring(Some(other))) if other == attempt => {
-                self.refresh_scoring(machine, attempt, report.scoring, now);
-                return;
+            Adoption::Refresh => self.refresh(machine, report, now),
+            Adoption::RefreshScoring => {
+                if let Some(scoring) = report.scoring {
+                    self.on_scored(machine, attempt, scoring, now);
+                }
             }
-            _ => {
+            Adoption::Cancel => {
                 // Its cancellation may have been lost with the old link.
                 self.remove_run(attempt);
-                self.actions.push(Action::Cancel {
-                    machine: machine.to_string(),
-                    attempt,
-                });
+                self.cancel_at(machine, attempt);
                 self.recorded(machine, attempt);
-                return;
             }
         }
+    }
+
+    /// Makes a run that an edge has the run of its item.
+    fn add_adopted(&mut self, machine: &str, report: RunReport, now: Millis) {
+        let attempt = report.attempt;
         let mut item_id = String::new();
         let mut kept = 0;
         if let Some(job) = self.jobs.jobs.get_mut(&report.job) {
@@ -66,7 +123,7 @@
             job: report.job,
             item: report.item,
             item_id,
-            // Which it was begun under is not told.
+            // The report does not say in which life it began.
             life: self.replicas.lives.of(&report.replica),
             replica: report.replica,
             events: report.events,
@@ -78,11 +135,12 @@
             granted_at: None,
         };
         self.runs.by_id.insert(attempt, run);
-        self.take_end(machine, attempt, report.end, report.scoring, now);
+        self.take_ends(machine, attempt, report.end, report.scoring, now);
     }
 
-    /// What an edge tells of a run that has ended, and of its scoring.
-    fn take_end(
+    /// Handles the ends of a run and of its scoring, as far as an edge reported them with the
+    /// run.
+    fn take_ends(
         &mut self,
         machine: &str,
         attempt: AttemptId,
@@ -98,7 +156,7 @@
         }
     }
 
-    /// An edge that came back tells of a run that was never given up.
+    /// An edge that came back has a run that was never given up.
     fn refresh(&mut self, machine: &str, report: RunReport, now: Millis) {
         let attempt = report.attempt;
         if let Some(run) = self.runs.by_id.get_mut(&attempt) {
@@ -117,34 +175,33 @@
         if let Some(edge) = self.edges.get_mut(machine) {
             edge.running += 1;
         }
-        self.take_end(machine, attempt, report.end, report.scoring, now);
+        self.take_ends(machine, attempt, report.end, report.scoring, now);
     }
 
-    /// Runs that an edge which came back does not hold: it never got them, or
+    /// Abandons runs that an edge which came back does not have: it never received them, or
     /// its process ended meanwhile.
-    pub(crate) fn abandon_untold(&mut self, machine: &str, told: &[RunReport], now: Millis) {
-        let is_told = |attempt: &AttemptId| told.iter().any(|one| one.attempt == *attempt);
-        let held = self.runs.by_id.iter();
-        let untold = held.filter(|(id, run)| run.machine == machine && !is_told(id));
-        let untold: Vec<AttemptId> = untold.map(|(attempt, _)| *attempt).collect();
-        for attempt in untold {
-            self.abandon_run(attempt, now);
+    fn abandon_unreported(&mut self, machine: &str, reported: &[RunReport]) {
+        let is_reported = |attempt: AttemptId| reported.iter().any(|one| one.attempt == attempt);
+        let runs = self.runs.ids_where(|run| run.machine == machine);
+        for attempt in runs.into_iter().filter(|id| !is_reported(*id)) {
+            self.abandon_run(attempt);
         }
     }
 
-    /// All runs of an edge that is out of reach go on elsewhere, from what it
-    /// told of them.
-    pub(crate) fn edge_down(&mut self, machine: &str, now: Millis) {
+    /// An edge is out of reach: its runs go on elsewhere, from what it reported of them.
+    pub(crate) fn on_edge_down(&mut self, machine: &str, now: Millis) {
         if self.edges.remove(machine).is_none() {
             return;
         }
-        let held = self.runs.by_id.iter();
-        let held = held.filter(|(_, run)| run.machine == machine);
-        let lost: Vec<AttemptId> = held.map(|(attempt, _)| *attempt).collect();
+        let lost = self.runs.ids_where(|run| run.machine == machine);
         log::warn!("event=edge_lost machine={machine} runs={}", lost.len());
         for attempt in lost {
-            self.abandon_run(attempt, now);
+            self.abandon_run(attempt);
         }
-        self.forget_untold_scorings(machine, &[], now);
+        self.forget_unreported_scorings(machine, &[], now);
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/takeover.rs"]
+mod tests;
--- a/crates/dispatch/src/warming.rs
+++ b/crates/dispatch/src/warming.rs
@@ -1,27 +1,31 @@
-//! Requests to replicas that warm up: granted here, one by one, for all processes.
+//! Requests to replicas that warm up: the leader grants each one, for all processes.
 //!
-//! Items spend as they are placed. Edges ask for other requests. A grant is good for
-//! [`PERMIT_MS`] by the sender's clock, and counts that long and a second more, so that no
-//! sliding second has more requests than a replica bears. Grants are made while this
-//! process surely leads, which two processes never do at one moment; what the leader before
-//! granted is not known and counts as all that there was.
+//! Owns which replicas have budgets and what was granted; the budgets are in `Replica`. Items
+//! spend of a budget as they are placed; edges ask for permits for other requests. A request must
+//! be sent within [`PERMIT_MS`] of its grant by the sender's clock, and its grant counts for that
+//! time and a second more, so that a replica bears the requests of any second. Grants are made
+//! only by a confirmed leader, of which there is one at a time. What the leader before granted is
+//! not known here, so its whole budget counts as spent.
 
-use crate::dispatcher::{Dispatcher, Edge};
+use crate::dispatcher::Dispatcher;
 use crate::replicas::{Replica, Replicas};
+use crate::retry;
 use brasspond_cluster_protocol::{AttemptId, RunEnd};
 use brasspond_eligibility::Work;
 use brasspond_fleet::{FleetView, Regions};
 use brasspond_units::Millis;
 use brasspond_warmup::{Budget, LEADERS_OVERLAP, PERMIT_MS, Permit, Rate};
+use std::cmp::Reverse;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Time for which budgets are kept to after a replica is warm, in ms: edges see a view later
-/// than the leader, by the pause between two that are sent and the way there, and send
-/// nothing without a permit to a replica that warms up by theirs.
+/// Time for which a budget applies after its replica is warm, in ms: edges know a view later than
+/// the leader, by the pause between two that they are sent (100 ms, docs/CAPACITY.md) and its
+/// way. Until then they need permits, and other processes' requests must not come on top. Not
+/// measured.
 const KNOWN_EVERYWHERE: Millis = 500;
 
-/// What an edge asks for: leave to send one request.
+/// What an edge asks a permit for.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitAsk<'a> {
     /// Service that answers the request.
@@ -42,9 +46,9 @@
     /// Requests that edges asked for and were granted, those to replicas that are warm here
     /// among them.
     pub requests: u64,
-    /// Questions of edges that were granted nothing.
+    /// Questions of edges that were answered without a permit.
     pub refused: u64,
-    /// Grants of which a request certainly did not make use.
+    /// Grants whose requests certainly did not reach the replica.
     pub returned: u64,
 }
 
@@ -53,30 +57,30 @@
 pub(crate) struct Warming {
     /// By id, those that warm up or did just now.
     ids: BTreeSet<String>,
-    /// Whether this process surely leads, as it was told last.
-    is_sure: bool,
-    /// Since when it has surely led for the first time; what went before is not known.
-    sure_since: Option<Millis>,
-    /// When budgets were last looked at.
-    looked_at: Millis,
+    /// Whether this process is the confirmed leader.
+    is_confirmed: bool,
+    /// When it was the confirmed leader for the first time: grants before that are not known.
+    confirmed_since: Option<Millis>,
+    /// Until when openings of budgets were handled.
+    handled_until: Millis,
     counts: GrantCounts,
 }
 
 impl Warming {
     /// Whether requests to replicas that warm up may be granted.
     pub fn may_grant(&self) -> bool {
-        self.is_sure
+        self.is_confirmed
     }
 }
 
 impl Replica {
-    /// Whether its budget is kept to.
+    /// Whether its budget applies.
     pub fn has_budget(&self, now: Millis) -> bool {
         self.budget.is_some() && now < self.bounded_until
     }
 
-    /// Requests that its budget allows now, whatever its places allow; without a budget any
-    /// number.
+    /// Requests that its budget allows now, however many of its slots are free; without a
+    /// budget any number.
     pub fn budget_left(&self, now: Millis) -> usize {
         match &self.budget {
             Some(budget) if self.has_budget(now) => budget.left(now),
@@ -84,8 +88,8 @@
         }
     }
 
-    /// Takes what a newer view says of its warming up. `unknown_until`: what other
-    /// processes sent before is not known.
+    /// Applies what a newer view says of its warm-up. `unknown_until`: what other processes
+    /// sent before that moment is not known, so that all of the budget counts as spent then.
     pub fn renew_budget(&mut self, view: &FleetView, unknown_until: Millis, now: Millis) {
         let Some(warm_up) = view.warm_up_of(&self.standing.service) else {
             self.budget = None;
@@ -102,30 +106,34 @@
         self.paced_from = self.paced_from.max(self.standing.warming.until());
         match &mut self.budget {
             Some(budget) if was_bounded => budget.set_rate(rate, now.max(unknown_until)),
-            // It was warm until now, and was sent whatever came.
-            _ if self.is_old => self.budget = Some(Budget::spent(rate, now.max(unknown_until))),
-            // Nobody knew it before, but the leader before this one may have.
+            // It was warm until now, and was sent any number of requests.
+            _ if self.was_listed => self.budget = Some(Budget::spent(rate, now.max(unknown_until))),
+            // It is new here, but an earlier leader may have granted requests.
             _ => self.budget = Some(Budget::spent(rate, unknown_until)),
         }
         self.renew_opening();
         if is_news {
-            log::info!(
-                "event=replica_warming replica={} service={} zone={} left_ms={} most={} span_ms={} opens_in_ms={} was_bounded={was_bounded} known_before={} replicas_revision={}",
-                self.standing.id,
-                self.standing.service,
-                self.standing.zone,
-                self.standing.warming.until().saturating_sub(now),
-                rate.most,
-                rate.span_ms,
-                self.standing.opens_at.saturating_sub(now),
-                self.is_old,
-                view.replicas_revision
-            );
+            self.log_warming(rate, was_bounded, view.replicas_revision, now);
         }
     }
 
-    /// Counts a request that is sent there. Returns when it was granted; none: no budget is kept
-    /// to, or nothing was left of it.
+    fn log_warming(&self, rate: Rate, was_bounded: bool, replicas_revision: u64, now: Millis) {
+        log::info!(
+            "event=replica_warming replica={} service={} zone={} left_ms={} most={} span_ms={} opens_in_ms={} was_bounded={was_bounded} known_before={} replicas_revision={}",
+            self.standing.id,
+            self.standing.service,
+            self.standing.zone,
+            self.standing.warming.until().saturating_sub(now),
+            rate.most,
+            rate.span_ms,
+            self.standing.opens_at.saturating_sub(now),
+            self.was_listed,
+            replicas_revision
+        );
+    }
+
+    /// Counts a request that is sent there. Returns when it was granted; none: no budget applies,
+    /// or nothing was left of it.
     pub fn spend(&mut self, now: Millis) -> Option<Millis> {
         if !self.has_budget(now) {
             return None;
@@ -135,7 +143,7 @@
         was_open.then_some(now)
     }
 
-    /// A request that was granted at `at` certainly did not reach it.
+    /// A request that was granted at `at` certainly did not reach the replica.
     fn give_back(&mut self, at: Millis) {
         if let Some(budget) = &mut self.budget {
             budget.give_back(at);
@@ -143,8 +151,8 @@
         }
     }
 
-    /// Whether requests count that it was granted of late: they are to be remembered while
-    /// its entry is gone, which may come back.
+    /// Whether any of its grants still counts: they are kept while its entry is gone, which may
+    /// come back.
     pub fn has_counted_grants(&self, now: Millis) -> bool {
         let budget = self.budget.as_ref();
         budget.is_some_and(|budget| budget.counts(now))
@@ -157,9 +165,9 @@
 }
 
 impl Replicas {
-    /// Replicas whose budget opened, or that are bounded no more, since the last look.
+    /// Replicas whose budget opened or ceased to apply since this was called last.
     fn reopened(&mut self, now: Millis) -> Vec<String> {
-        let before = std::mem::replace(&mut self.warming.looked_at, now);
+        let before = std::mem::replace(&mut self.warming.handled_until, now);
         let by_id = &self.by_id;
         let is_new = |at: Millis| before < at && at <= now;
         let reopened = self.warming.ids.iter().filter(|id| {
@@ -173,13 +181,13 @@
         reopened
     }
 
-    /// Notes which replicas have budgets, after a newer view.
-    pub fn note_budgets(&mut self, now: Millis) {
+    /// Indexes the replicas that have budgets, after a newer view.
+    pub fn index_budgets(&mut self, now: Millis) {
         let bounded = self.by_id.iter().filter(|(_, one)| one.has_budget(now));
         self.warming.ids = bounded.map(|(id, _)| id.clone()).collect();
     }
 
-    /// All budgets count as spent.
+    /// Counts all budgets as spent at `now`.
     fn spend_all(&mut self, now: Millis) {
         for replica in self.by_id.values_mut() {
             if let Some(budget) = &mut replica.budget {
@@ -189,53 +197,23 @@
         }
     }
 
-    /// Runs that a replica may be given now.
-    pub fn room_of(&self, replica: &Replica, now: Millis) -> usize {
-        let places = replica.slots.saturating_sub(replica.running);
-        if replica.has_budget(now) && !self.warming.may_grant() {
-            return 0;
-        }
-        places.min(replica.budget_left(now))
-    }
-
-    /// What other processes sent until this moment is not known.
+    /// Until when other processes may have sent requests that are not known here, in ms.
     pub fn unknown_until(&self, now: Millis) -> Millis {
-        self.warming.sure_since.unwrap_or(now) + LEADERS_OVERLAP
-    }
-}
-
-impl Edge {
-    /// Until when a run that is ordered now may leave there, by its clock; none: its clock
-    /// is not known.
-    pub fn send_by(&self, now: Millis) -> Option<Millis> {
-        let shown = self.clock.at_least(now)?;
-        Some(shown + PERMIT_MS)
+        self.warming.confirmed_since.unwrap_or(now) + LEADERS_OVERLAP
     }
 }
 
 impl Dispatcher {
-    /// What an edge's clock shows at the least, in ms from its start; none: unknown.
-    pub fn edge_clock(&self, machine: &str, now: Millis) -> Option<Millis> {
-        self.edges.get(machine)?.clock.at_least(now)
-    }
-
-    /// Whether this process surely leads at present: to be told before each event.
-    pub fn set_confirmed_leader(&mut self, is_sure: bool, now: Millis) {
+    /// Sets whether this process is the confirmed leader at present; called before each event.
+    pub fn set_confirmed_leader(&mut self, is_confirmed: bool, now: Millis) {
         let warming = &mut self.replicas.warming;
-        warming.is_sure = is_sure;
-        if is_sure && warming.sure_since.is_none() {
-            warming.sure_since = Some(now);
+        warming.is_confirmed = is_confirmed;
+        if is_confirmed && warming.confirmed_since.is_none() {
+            warming.confirmed_since = Some(now);
             self.replicas.spend_all(now + LEADERS_OVERLAP);
         }
     }
 
-    /// An edge told what its clock showed, in ms.
-    pub fn edge_told_clock(&mut self, machine: &str, theirs: Millis, now: Millis) {
-        if let Some(edge) = self.edges.get_mut(machine) {
-            edge.clock.note(theirs, now);
-        }
-    }
-
     /// Whether items wait and a budget has opened: they are to be placed now.
     pub fn is_opening_due(&self, now: Millis) -> bool {
         self.next_opening().is_some_and(|at| at <= now)
@@ -249,20 +227,20 @@
         }
         let opening = warming.ids.iter().filter_map(|id| {
             let opens_at = self.replicas.by_id.get(id)?.standing.opens_at;
-            (opens_at > warming.looked_at).then_some(opens_at)
+            (opens_at > warming.handled_until).then_some(opens_at)
         });
         opening.min()
     }
 
-    /// Has the queues of items look at replicas whose budget opened.
-    pub(crate) fn note_reopened(&mut self, now: Millis) {
+    /// Puts replicas whose budget opened back into the queues of placement.
+    pub(crate) fn requeue_opened(&mut self, now: Millis) {
         for replica in self.replicas.reopened(now) {
             self.placement.freed(&replica);
         }
     }
 
-    /// Grants a request that an edge asks for; none: nothing is left at any replica that may
-    /// take it.
+    /// Grants a request that an edge asks a permit for: at the replica that [`Self::best_open`]
+    /// names, else at a warm one. None: no replica that may take it has anything left.
     pub fn grant(&mut self, ask: &PermitAsk<'_>, now: Millis) -> Option<Permit> {
         let work = Work {
             service: ask.service,
@@ -272,26 +250,12 @@
             now,
             permit: None,
         };
-        let replicas = &self.replicas;
-        let open = replicas.warming.ids.iter().filter_map(|id| {
-            let replica = replicas.by_id.get(id)?;
-            let takes = replica.has_budget(now)
-                && replica.budget_left(now) > 0
-                && replica.paused_until <= now
-                && replica.standing.takes(&work).is_ok();
-            takes.then_some((id, replica))
-        });
-        let best = open.min_by_key(|(id, replica)| {
-            let was_tried = ask.tried.contains(id);
-            (was_tried, std::cmp::Reverse(replica.budget_left(now)))
-        });
-        let best = best.filter(|_| replicas.warming.is_sure);
-        let best = best.map(|(id, _)| id.clone());
-        let Some(id) = best.or_else(|| self.warm_one(&work, ask.asked_at)) else {
+        let open = self.best_open(&work, ask.tried);
+        let Some(id) = open.or_else(|| self.warm_one(&work, ask.asked_at)) else {
             self.replicas.warming.counts.refused += 1;
             return None;
         };
-        // One that is warm here counts nothing.
+        // A warm one has no budget to spend.
         let counted = self.replicas.by_id.get_mut(&id)?.spend(now);
         self.replicas.warming.counts.requests += 1;
         Some(Permit {
@@ -300,9 +264,32 @@
         })
     }
 
-    /// A replica that is warm, for an edge that takes it for one that warms up: it has just
-    /// started, and counts the time that the entry tells from then. `draw` spreads them.
-    /// Without a configuration none is known to be warm.
+    /// The replica with a budget that a request is granted at: of those that take it and have
+    /// something left the one with the most left, those that were sent it before last. None
+    /// unless this process is the confirmed leader.
+    fn best_open(&self, work: &Work<'_>, tried: &[String]) -> Option<String> {
+        let warming = &self.replicas.warming;
+        if !warming.may_grant() {
+            return None;
+        }
+        let open = warming.ids.iter().filter_map(|id| {
+            let replica = self.replicas.by_id.get(id)?;
+            let takes = replica.has_budget(work.now)
+                && replica.budget_left(work.now) > 0
+                && replica.paused_until <= work.now
+                && replica.standing.takes(work).is_ok();
+            takes.then_some((id, replica))
+        });
+        let best = open.min_by_key(|(id, replica)| {
+            let was_tried = tried.contains(id);
+            (was_tried, Reverse(replica.budget_left(work.now)))
+        });
+        best.map(|(id, _)| id.clone())
+    }
+
+    /// A warm replica, for an edge that takes it for one that warms up: an edge that has just
+    /// started counts the warm-up period of an entry from its own start. `draw`: spreads such
+    /// requests over the replicas. None without a configuration, as none is known to be warm.
     fn warm_one(&self, work: &Work<'_>, draw: u64) -> Option<String> {
         self.view.configuration.as_ref()?;
         let by_id = &self.replicas.by_id;
@@ -315,31 +302,24 @@
         warm.next().map(|(id, _)| id.clone())
     }
 
-    /// An item is placed on a replica; when it was granted, if the replica is bounded.
+    /// Counts an item that is placed on a replica; returns when it was granted, if a budget
+    /// applies.
     pub(crate) fn spend_for_item(&mut self, replica: &str, now: Millis) -> Option<Millis> {
         let granted = self.replicas.by_id.get_mut(replica)?.spend(now);
         self.replicas.warming.counts.items += u64::from(granted.is_some());
         granted
     }
 
-    /// Takes a grant back of which a run made no use: it never left, or the replica answered
-    /// that it is another.
-    pub(crate) fn take_back(
+    /// Gives a grant back to the budget if its run never reached the replica
+    /// ([`retry::never_reached_replica`]).
+    pub(crate) fn return_grant(
         &mut self,
         attempt: AttemptId,
         replica: &str,
         granted: Option<Millis>,
         end: RunEnd,
     ) {
-        let was_unused = matches!(
-            end,
-            RunEnd::Unsent
-                | RunEnd::Unreachable
-                | RunEnd::NotRun {
-                    other_replica: true
-                }
-        );
-        let Some(granted) = granted.filter(|_| was_unused) else {
+        let Some(granted) = granted.filter(|_| retry::never_reached_replica(end)) else {
             return;
         };
         let Some(known) = self.replicas.by_id.get_mut(replica) else {
@@ -354,7 +334,7 @@
         self.placement.freed(replica);
     }
 
-    /// Replicas that are bounded, and grants so far.
+    /// Number of replicas with budgets, and grants so far.
     pub fn warming(&self) -> (usize, GrantCounts) {
         let warming = &self.replicas.warming;
         (warming.ids.len(), warming.counts)
--- a/crates/dispatch/src/withheld.rs
+++ b/crates/dispatch/src/withheld.rs
@@ -1,10 +1,10 @@
-//! Items whose content ends the replicas that run it.
+//! Items whose content is quarantined, as replicas ended while they ran it.
 //!
-//! A caller's request of such a content is turned away; an item cannot be, since its job
-//! was taken. It is withheld, run a few times more at a distance, and then stays withheld
-//! until the content is cleared, or its time in the queue is over. Other items go on: before
-//! this stood, one such item among nine had all nine given up, as each of its runs ended the
-//! replica that ran the others too.
+//! Owns nothing; changes states of items in `JobRuns`. Relies on the ledger of quarantined contents
+//! in the table of jobs. A caller's request of such a content is refused; an item cannot be, as
+//! its job was accepted. It is withheld, so that it ends no replica that other items run at. It
+//! is run a few times more with pauses between, and then stays withheld until its content is
+//! cleared or its time in the queue is over.
 
 use crate::dispatcher::Dispatcher;
 use crate::jobs::State;
@@ -12,21 +12,25 @@
 use brasspond_quarantine::{Case, Fingerprint, Ledger, QUARANTINED_AFTER};
 use brasspond_units::Millis;
 
-/// Pause before a withheld item is run again, in ms. An item that no replica finished is
-/// to be at none for less than 5 s, as long as it is run at all.
+/// Pause before a withheld item is run again, in ms: an item that may be run is to wait for less
+/// than 5 s between two runs, and a replica is found within the rest.
 const RETRY_PAUSE: Millis = 4_000;
-/// Replicas that an item may end beyond those after which its content is held.
+/// Replicas that an item may end beyond those after which its content is quarantined. Not
+/// measured: each costs a replica, and shows whether the content or chance ended the others.
 const MOST_RETRIES: usize = 3;
-/// Pause between two looks whether a scoring call may be made, in ms.
-pub(crate) const SCORING_PAUSE: Millis = 1_000;
+/// Pause before it is checked again whether a scoring call of a quarantined content may be made,
+/// in ms. Not measured.
+pub(crate) const QUARANTINE_RECHECK_PAUSE: Millis = 1_000;
 
-/// Whether an item of a held content may still be run.
+/// Whether an item of a quarantined content may still be run: replicas that ended under the
+/// content are fewer than those that quarantine it and the retries.
 fn has_retries(case: &Case) -> bool {
     case.ends() < QUARANTINED_AFTER + MOST_RETRIES
 }
 
 impl Dispatcher {
-    /// Withholds an item that is about to be started, if its content is held.
+    /// Withholds an item that is about to be started, if its content is quarantined and this is no
+    /// retry; says whether it did.
     pub(crate) fn withhold(&mut self, id: &str, item: u32, table: &JobTable, now: Millis) -> bool {
         if !table.quarantine().holds_any() {
             return false;
@@ -42,7 +46,7 @@
             return false;
         };
         let item_run = &mut job.items[item as usize];
-        if std::mem::take(&mut item_run.is_retry) {
+        if std::mem::take(&mut item_run.is_quarantine_retry) {
             return false;
         }
         item_run.state = State::Withheld;
@@ -57,7 +61,8 @@
         true
     }
 
-    /// Has items run that were withheld and may be run again.
+    /// Puts withheld items that may be run back among those that wait: once their content is
+    /// cleared, or after the pause while they have retries.
     pub(crate) fn retry_withheld(&mut self, table: &JobTable, now: Millis) {
         let mut retried = Vec::new();
         for (id, job) in &self.jobs.jobs {
@@ -74,14 +79,14 @@
         for (id, item, is_quarantined) in retried {
             if let Some(job) = self.jobs.jobs.get_mut(&id) {
                 job.withheld.remove(&item);
-                job.items[item as usize].is_retry = is_quarantined;
+                job.items[item as usize].is_quarantine_retry = is_quarantined;
                 self.jobs.wait(&id, item);
             }
         }
     }
 
-    /// Whether the call that scores an item's text is held.
-    pub(crate) fn is_scoring_held(&self, id: &str, item: u32, table: &JobTable) -> bool {
+    /// Whether the content of the call that scores an item's text is quarantined.
+    pub(crate) fn is_scoring_quarantined(&self, id: &str, item: u32, table: &JobTable) -> bool {
         if !table.quarantine().holds_any() {
             return false;
         }
@@ -91,6 +96,7 @@
     }
 }
 
+/// Whether a content may be run again; not where its case is unknown.
 fn may_retry(content: Option<Fingerprint>, ledger: &Ledger) -> bool {
     let case = content.and_then(|content| ledger.case(content));
     case.is_some_and(has_retries)
--- a/crates/dispatch/tests/unit/load_cost.rs
+++ b/crates/dispatch/tests/unit/load_cost.rs
@@ -14,7 +14,7 @@
         let noise = 1.0 + 0.02 * ((number * 5) % 11) as f64 / 10.0;
         let stood_still = if number % 10 == 9 { 3.0 } else { 1.0 };
         let pace = SPEEDS[replica] * (1.0 + slope * fill) * noise * stood_still;
-        cost.note(&mut means[replica], pace, fill);
+        cost.observe(&mut means[replica], pace, fill);
     }
     cost.slope()
 }
--- /dev/null
+++ b/crates/dispatch/tests/unit/silence.rs
@@ -0,0 +1,57 @@
+//! What counts as silent for too long.
+
+use super::{edge_reported_since, is_edge_silent, is_hand_over_late, is_stalled, suspended_for};
+use rstest::rstest;
+
+/// When a run was heard of last, in ms.
+const HEARD_AT: u64 = 10_000;
+
+#[rstest]
+#[case::the_edge_reported_other_runs(false, true, 500)]
+#[case::the_edge_is_silent_too(false, false, 1_000)]
+#[case::the_replica_loads(true, true, 2_000)]
+#[case::the_replica_loads_and_the_edge_is_silent(true, false, 2_000)]
+fn a_run_is_stalled_after(
+    #[case] is_loading: bool,
+    #[case] edge_reported: bool,
+    #[case] limit: u64,
+) {
+    let is_stalled = |now| is_stalled(HEARD_AT, is_loading, edge_reported, now);
+    assert!(!is_stalled(HEARD_AT + limit - 1));
+    assert!(is_stalled(HEARD_AT + limit));
+}
+
+#[rstest]
+#[case::before(HEARD_AT - 100, false)]
+#[case::with_the_run(HEARD_AT, false)]
+#[case::in_the_same_report(HEARD_AT + 50, false)]
+#[case::in_a_later_report(HEARD_AT + 51, true)]
+fn an_edge_reported_since_if_in_a_later_report(#[case] edge_heard_at: u64, #[case] since: bool) {
+    assert_eq!(edge_reported_since(edge_heard_at, HEARD_AT), since);
+}
+
+#[rstest]
+fn a_hand_over_is_late_after_300_ms() {
+    assert!(!is_hand_over_late(HEARD_AT, HEARD_AT + 299));
+    assert!(is_hand_over_late(HEARD_AT, HEARD_AT + 300));
+}
+
+#[rstest]
+fn an_edge_is_silent_after_two_missing_heartbeats() {
+    assert!(!is_edge_silent(HEARD_AT, HEARD_AT + 999));
+    assert!(is_edge_silent(HEARD_AT, HEARD_AT + 1_000));
+}
+
+#[rstest]
+#[case::ticks_as_usual(100, None)]
+#[case::a_late_tick(349, None)]
+#[case::suspended(350, Some(350))]
+#[case::suspended_for_long(7_000, Some(7_000))]
+fn a_process_was_suspended_if_ticks_are_missing(#[case] gap: u64, #[case] expected: Option<u64>) {
+    assert_eq!(suspended_for(HEARD_AT, HEARD_AT + gap), expected);
+}
+
+#[rstest]
+fn a_tick_before_the_last_is_no_suspension() {
+    assert_eq!(suspended_for(HEARD_AT, HEARD_AT - 1), None);
+}
