--- a/crates/dispatch/src/replicas.rs
+++ b/crates/dispatch/src/replicas.rs
@@ -108,7 +108,7 @@
             is_listed || replica.running > 0 || replica.has_counted_grants(now)
         });
         for (id, info) in view.replicas.iter() {
-            if !self.lives.may_say(id, info.life) {
+            if !self.lives.may_be_present(id, info.life) {
                 if let Some(known) = self.by_id.get_mut(id) {
                     known.standing.renew_limits(info, view, now);
                     known.renew_budget(view, unknown_until, now);
--- a/crates/eligibility/src/clearance.rs
+++ b/crates/eligibility/src/clearance.rs
@@ -1,16 +1,16 @@
-//! Leave to send one request to one replica.
+//! Proof that one request may be sent to one replica.
 
 use brasspond_units::Millis;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Leave to send a request to a replica. Whoever opens a connection for a request asks for
-/// one, so that no way to a replica passes by the question.
+/// Proof that the eligibility check allowed a request to a replica. Opening a connection for a
+/// request takes one, so that none is sent without the check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Clearance {
     replica: Arc<str>,
     address: SocketAddr,
-    /// Before which moment the request must leave; none: whenever it does.
+    /// Before which moment the request must be sent, by the sender's clock in ms; none: at any time.
     send_by: Option<Millis>,
 }
 
@@ -23,25 +23,25 @@
         }
     }
 
-    /// The same for a request that must leave before a moment.
+    /// The same for a request that must be sent before a moment.
     #[must_use]
     pub fn sent_by(self, send_by: Option<Millis>) -> Self {
         Self { send_by, ..self }
     }
 
-    /// Whether the request may leave at `now`: to be asked right before it is sent, when
-    /// its connection is there.
+    /// Whether the request may still be sent at `now`: to be checked right before it is sent, once
+    /// its connection is open.
     pub fn is_in_time(&self, now: Millis) -> bool {
         self.send_by.is_none_or(|send_by| now < send_by)
     }
 
-    /// Leave that the leader gave: it asked when it placed the run, and this process knows
-    /// nothing newer of the replica.
+    /// For a run of the leader, which made the check when it placed the run; only where this
+    /// process does not know the replica.
     pub fn of_leader(replica: &str, address: SocketAddr) -> Self {
         Self::new(replica.into(), address)
     }
 
-    /// Identity of the replica.
+    /// Id of the replica.
     pub fn replica(&self) -> &Arc<str> {
         &self.replica
     }
--- a/crates/eligibility/src/lib.rs
+++ b/crates/eligibility/src/lib.rs
@@ -1,11 +1,11 @@
-//! May a request go to that replica now?
+//! The one check before each request to a replica.
 //!
-//! Plain requests, streams and their resumption, items of jobs, moves of runs and scoring
-//! calls all ask [`Standing::takes`], so that what forbids a replica holds on every way to it.
-//! A connection for a request is opened for a [`Clearance`] alone. It comes from the answer to
-//! that question, or, for a run to a replica that this process does not know yet, from the
-//! leader that asked it ([`Clearance::of_leader`]). Nothing here does I/O; whoever knows the
-//! fleet's view keeps a [`Standing`] for each replica.
+//! Plain requests, streams and their resumption, items of jobs, hand-overs of runs and scoring
+//! calls all pass [`Standing::takes`], so that what forbids a replica forbids it for all. A
+//! connection for a request is opened only with a [`Clearance`], which [`Standing::clear`] returns.
+//! For a run at a replica that this process does not know yet the leader made the check
+//! ([`Clearance::of_leader`]). Nothing here does I/O; each process that knows the fleet's view
+//! keeps a [`Standing`] for each replica.
 #![forbid(unsafe_code)]
 
 mod clearance;
--- a/crates/eligibility/src/standing.rs
+++ b/crates/eligibility/src/standing.rs
@@ -1,18 +1,20 @@
-//! What the view says of a replica that decides whether requests may go to it.
+//! What is known of a replica that decides whether requests may go to it.
+//!
+//! Owned by the process that makes the check, renewed by each newer view.
 
 use crate::clearance::Clearance;
 use crate::work::{Unfit, Work};
 use brasspond_fleet::{FleetView, ReplicaInfo};
 use brasspond_units::Millis;
-use brasspond_warmup::Spell;
+use brasspond_warmup::WarmUpPeriod;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A replica, as far as it matters to where requests go.
+/// A replica, as far as that decides whether requests may go to it.
 #[derive(Clone, Debug)]
 pub struct Standing {
-    /// Its identity.
+    /// Its id.
     pub id: Arc<str>,
     /// Where it listens.
     pub address: SocketAddr,
@@ -22,25 +24,25 @@
     pub zone: Arc<str>,
     /// Region of its zone; none: unknown.
     pub region: Option<Arc<str>>,
-    /// It leaves, or is gone.
+    /// It gets no new work, or is gone.
     pub draining: bool,
     /// Its zone is evacuated.
     pub is_evacuated: bool,
-    /// It is not known yet which zones are evacuated.
+    /// It is not known yet which zones are evacuated, though this process is to know.
     pub is_unknown: bool,
-    /// The configuration names its service.
-    pub is_named: bool,
-    /// Weights that it holds in this life: version by model, none older than was known before.
+    /// The configuration names its service, or none is known yet.
+    pub is_configured: bool,
+    /// Weights that it serves in this life: version by model, the newest that was known.
     pub versions: HashMap<String, u64>,
-    /// Whether it warms up, where its service says what it bears then.
-    pub warming: Spell,
-    /// From when on whoever keeps its budget may send it the next request while it warms
-    /// up; the end of time where another process keeps it.
+    /// Its warm-up period, where the configuration names what its service bears meanwhile.
+    pub warming: WarmUpPeriod,
+    /// When its budget allows the next request while it warms up, in ms; the end of time in
+    /// processes that do not keep its budget.
     pub opens_at: Millis,
 }
 
 impl Standing {
-    /// Of a replica that is seen for the first time.
+    /// Of a replica that was not known before.
     pub fn new(info: &ReplicaInfo, view: &FleetView, now: Millis) -> Self {
         let mut standing = Self {
             id: info.id.as_str().into(),
@@ -51,18 +53,18 @@
             draining: false,
             is_evacuated: false,
             is_unknown: false,
-            is_named: true,
+            is_configured: true,
             versions: HashMap::new(),
-            warming: Spell::default(),
+            warming: WarmUpPeriod::default(),
             opens_at: Millis::MAX,
         };
         standing.renew(info, view, now);
         standing
     }
 
-    /// Takes what a newer view says.
+    /// Applies what a newer view says of the replica.
     pub fn renew(&mut self, info: &ReplicaInfo, view: &FleetView, now: Millis) {
-        self.take_place(info);
+        self.renew_location(info);
         self.draining = info.draining;
         self.renew_zone(view);
         self.renew_warming(info, view, now);
@@ -76,8 +78,8 @@
         }
     }
 
-    /// Takes from the entry of a life that is lower than the one known what forbids requests,
-    /// and nothing that allows any: the lower may yet be the present one.
+    /// Applies what the entry of a lower life than the known one forbids, and nothing that it
+    /// allows: that life may yet prove to be the present one.
     pub fn renew_limits(&mut self, info: &ReplicaInfo, view: &FleetView, now: Millis) {
         self.draining |= info.draining;
         self.renew_zone(view);
@@ -89,7 +91,7 @@
     fn renew_zone(&mut self, view: &FleetView) {
         self.is_evacuated = view.is_evacuated(&self.zone);
         self.is_unknown = !view.knows_evacuated();
-        self.is_named = view.names_service(&self.service);
+        self.is_configured = view.names_service(&self.service);
     }
 
     fn renew_warming(&mut self, info: &ReplicaInfo, view: &FleetView, now: Millis) {
@@ -99,7 +101,8 @@
     }
 
     /// A replica that starts again under its id may do so elsewhere, and for another service.
-    fn take_place(&mut self, info: &ReplicaInfo) {
+    /// Strings are shared and stay where they are the same.
+    fn renew_location(&mut self, info: &ReplicaInfo) {
         self.address = info.address;
         if *self.service != *info.service {
             self.service = info.service.as_str().into();
@@ -112,15 +115,15 @@
         }
     }
 
-    /// It started again: what it held and how it warmed up is of the life before.
+    /// It started again: its versions and its warm-up period were of the life before.
     pub fn begin_life(&mut self) {
         self.versions.clear();
-        self.warming = Spell::default();
+        self.warming = WarmUpPeriod::default();
     }
 
     /// Whether it takes new work of its service at all.
     pub fn takes_work(&self) -> bool {
-        !self.draining && !self.is_unknown && !self.is_evacuated && self.is_named
+        !self.draining && !self.is_unknown && !self.is_evacuated && self.is_configured
     }
 
     /// Whether a request may go there.
@@ -131,10 +134,10 @@
         if work.is_quarantined {
             return Err(Unfit::Quarantined);
         }
-        if *self.service != *work.service || !self.is_named {
+        if *self.service != *work.service || !self.is_configured {
             return Err(Unfit::OtherService);
         }
-        // Before what may pass: of a replica that may never take the request nothing else matters.
+        // Before reasons that pass: this one does not, as far as the request is concerned.
         if !work.regions.allows(self.region.as_deref()) {
             return Err(Unfit::OutsideRegions);
         }
@@ -147,10 +150,10 @@
         if self.is_evacuated {
             return Err(Unfit::Evacuated);
         }
-        if !self.holds_weights(work) {
+        if !self.serves_weights(work) {
             return Err(Unfit::OtherWeights);
         }
-        if !self.bears_one_more(work) {
+        if !self.bears(work) {
             return Err(Unfit::WarmingUp);
         }
         Ok(())
@@ -163,21 +166,22 @@
     pub fn clear(&self, work: &Work<'_>) -> Result<Clearance, Unfit> {
         self.takes(work)?;
         let clearance = Clearance::new(Arc::clone(&self.id), self.address);
-        // With a permit it leaves in time or not at all, also where the replica is taken for
-        // warm here: who granted it counts it for that time alone.
+        // With a permit it is sent in time or not at all, also where the replica is warm by what is
+        // known here: the leader counts it only for that time.
         let permit = work.permit.filter(|permit| permit.replica == self.id);
         Ok(clearance.sent_by(permit.map(|permit| permit.send_by)))
     }
 
-    /// Whether it bears the request: it is warm, or the request has leave.
-    fn bears_one_more(&self, work: &Work<'_>) -> bool {
+    /// Whether it bears the request: it is warm, or its budget or a permit allows the request.
+    fn bears(&self, work: &Work<'_>) -> bool {
         let has_permit = work
             .permit
             .is_some_and(|permit| permit.allows(&self.id, work.now));
         !self.warming.is_on(work.now) || work.now >= self.opens_at || has_permit
     }
 
-    fn holds_weights(&self, work: &Work<'_>) -> bool {
+    /// Whether it serves weights that the request allows.
+    fn serves_weights(&self, work: &Work<'_>) -> bool {
         let Some(weights) = work.weights.filter(|weights| !weights.are_any()) else {
             return true;
         };
--- a/crates/eligibility/src/work.rs
+++ b/crates/eligibility/src/work.rs
@@ -13,11 +13,11 @@
     pub regions: &'a Regions,
     /// Weights that may answer it; none: any.
     pub weights: Option<Weights<'a>>,
-    /// Its content ended replicas, and is held.
+    /// Its content is quarantined.
     pub is_quarantined: bool,
-    /// The present moment, by the clock of the process that asks.
+    /// The present moment in ms, by the clock of the process that makes the check.
     pub now: Millis,
-    /// The leader's leave to send it to a replica that warms up.
+    /// The leader's permit for a replica that warms up, if there is one.
     pub permit: Option<&'a Permit>,
 }
 
@@ -44,29 +44,30 @@
     }
 }
 
-/// Why a replica does not take a request; the later, the nearer it is to taking it.
+/// Why a replica does not take a request, in the order in which reasons are checked: the later, the
+/// nearer the replica is to taking it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Unfit {
-    /// The content of the request is held.
+    /// The content of the request is quarantined.
     Quarantined,
     /// It answers for another service.
     OtherService,
     /// The request's data may not be in its region.
     OutsideRegions,
-    /// It is leaving, or gone.
+    /// It drains, or is gone.
     Draining,
     /// It is not known yet whether its zone is evacuated.
     ZoneUnknown,
     /// Its zone is evacuated.
     Evacuated,
-    /// It holds other weights.
+    /// It serves other weights.
     OtherWeights,
-    /// It warms up, and nothing of what it bears is granted to the request.
+    /// It warms up, and neither its budget nor a permit allows the request.
     WarmingUp,
 }
 
 impl Unfit {
-    /// Name for logs and metrics.
+    /// Name for logs and metrics; that of quarantined contents is older than the word.
     pub fn name(self) -> &'static str {
         match self {
             Self::Quarantined => "held",
--- a/crates/eligibility/tests/standing.rs
+++ b/crates/eligibility/tests/standing.rs
@@ -1,4 +1,4 @@
-//! Each reason for which a replica does not take a request, alone and beside others.
+//! Each reason for which a replica does not take a request, by itself and with others.
 
 use brasspond_eligibility::{Standing, Unfit, Weights, Work};
 use brasspond_fleet::{
@@ -48,7 +48,7 @@
 }
 
 #[rstest]
-fn a_replica_takes_what_nothing_forbids() {
+fn a_request_that_nothing_forbids_is_cleared() {
     let standing = Standing::new(&replica(), &FleetView::default(), 0);
     let clearance = standing.clear(&work(&Regions::Any)).expect("it may go");
     assert_eq!(&**clearance.replica(), "replica");
@@ -56,7 +56,7 @@
 }
 
 #[rstest]
-fn an_evacuated_zone_takes_nothing_until_it_is_taken_back() {
+fn an_evacuated_zone_takes_nothing_until_the_evacuation_ends() {
     let info = replica();
     let mut standing = Standing::new(&info, &evacuated(&["north-a"]), 0);
     let regions = Regions::Any;
@@ -73,7 +73,7 @@
 #[case(Regions::only(["south"]), Some("north"), false)]
 #[case(Regions::only(["north"]), None, false)]
 #[case(Regions::only([]), Some("north"), false)]
-fn data_stays_in_its_regions(
+fn requests_stay_in_their_regions(
     #[case] regions: Regions,
     #[case] region: Option<&str>,
     #[case] takes: bool,
@@ -99,7 +99,7 @@
 #[case("model", 0, None, true)]
 #[case("other", 1, None, false)]
 #[case("", 9, None, true)]
-fn weights_decide(
+fn a_replica_takes_requests_for_weights_that_it_serves(
     #[case] model: &str,
     #[case] least: u64,
     #[case] exact: Option<u64>,
@@ -120,18 +120,18 @@
 }
 
 #[rstest]
-fn the_first_reason_is_told() {
+fn the_first_reason_is_returned() {
     let info = ReplicaInfo {
         draining: true,
         ..replica()
     };
     let standing = Standing::new(&info, &evacuated(&["north-a"]), 0);
     let regions = Regions::only(["south"]);
-    let held = Work {
+    let quarantined = Work {
         is_quarantined: true,
         ..work(&regions)
     };
-    assert_eq!(standing.takes(&held), Err(Unfit::Quarantined));
+    assert_eq!(standing.takes(&quarantined), Err(Unfit::Quarantined));
     assert_eq!(standing.takes(&work(&regions)), Err(Unfit::OutsideRegions));
     let inside = Regions::only(["north"]);
     assert_eq!(standing.takes(&work(&inside)), Err(Unfit::Draining));
@@ -142,7 +142,7 @@
     assert_eq!(standing.takes(&other), Err(Unfit::OtherService));
 }
 
-/// A process that needs to know sends nothing before it does; others are not held up.
+/// A process that needs to know sends nothing before it does; others do not wait.
 #[rstest]
 #[case::needs(true, Err(Unfit::ZoneUnknown))]
 #[case::does_not_need(false, Ok(()))]
@@ -162,9 +162,9 @@
     assert!(standing.takes_work());
 }
 
-/// A replica that starts again under its id may do so elsewhere, and holds nothing.
+/// A replica that starts again under its id may do so elsewhere, and serves no weights yet.
 #[rstest]
-fn a_new_life_stands_where_its_entry_says() {
+fn a_new_life_is_where_its_entry_says() {
     let mut standing = Standing::new(&replica(), &FleetView::default(), 0);
     standing.versions.insert("model".to_string(), 9);
     standing.begin_life();
@@ -187,8 +187,8 @@
     assert!(standing.versions.is_empty());
 }
 
-/// A replica whose service the configuration does not name is none to use; it is again once the
-/// service is named. Before any configuration is known, nothing is said of services.
+/// A replica whose service the configuration does not name takes nothing, until the service is
+/// named. Before any configuration is known, all services count as named.
 #[rstest]
 #[case::nothing_known(None, Ok(()))]
 #[case::named(Some(vec!["engines", "plain"]), Ok(()))]
@@ -199,17 +199,17 @@
 ) {
     let info = replica();
     let mut standing = Standing::new(&info, &FleetView::default(), 0);
-    let view = naming(services);
+    let view = view_with(services);
     standing.renew(&info, &view, 0);
     let regions = Regions::Any;
     assert_eq!(standing.takes(&work(&regions)), expected);
     assert_eq!(standing.takes_work(), expected.is_ok());
     assert_eq!(view.takes_work(&info), expected.is_ok());
-    standing.renew(&info, &naming(Some(vec!["engines"])), 0);
+    standing.renew(&info, &view_with(Some(vec!["engines"])), 0);
     assert_eq!(standing.takes(&work(&regions)), Ok(()));
 }
 
-fn naming(services: Option<Vec<&str>>) -> FleetView {
+fn view_with(services: Option<Vec<&str>>) -> FleetView {
     let service = |name: &str| Service {
         name: name.to_string(),
         max_connections: 10,
--- a/crates/eligibility/tests/warming.rs
+++ b/crates/eligibility/tests/warming.rs
@@ -1,4 +1,4 @@
-//! A replica that warms up takes what its budget, or a permit, lets go there.
+//! A replica that warms up takes what its budget or a permit allows.
 
 use brasspond_eligibility::{Standing, Unfit, Work};
 use brasspond_fleet::{Configuration, FleetView, Regions, ReplicaInfo, Service, WarmUp};
@@ -66,12 +66,12 @@
 }
 
 #[rstest]
-fn nothing_goes_there_without_leave() {
+fn a_replica_that_warms_up_takes_nothing_without_a_permit() {
     let standing = Standing::new(&replica(3_000), &view(BOUNDED), 1_000);
     assert_eq!(standing.takes(&work(1_000, None)), Err(Unfit::WarmingUp));
     assert_eq!(standing.takes(&work(3_999, None)), Err(Unfit::WarmingUp));
     assert_eq!(standing.takes(&work(4_000, None)), Ok(()));
-    // It is not full, nor leaving: it still takes work of its service.
+    // It is neither full nor draining: it still takes work of its service.
     assert!(standing.takes_work());
 }
 
@@ -79,7 +79,7 @@
 #[case("replica", 1_500, true)]
 #[case("replica", 1_499, false)]
 #[case("another", 1_500, false)]
-fn a_permit_is_for_one_replica_and_a_while(
+fn a_permit_is_for_one_replica_and_a_limited_time(
     #[case] id: &str,
     #[case] send_by: u64,
     #[case] may_go: bool,
@@ -90,12 +90,12 @@
     assert_eq!(cleared.is_ok(), may_go);
     if let Ok(clearance) = cleared {
         assert!(clearance.is_in_time(1_499));
-        assert!(!clearance.is_in_time(1_500), "it left too late");
+        assert!(!clearance.is_in_time(1_500), "it would be sent too late");
     }
 }
 
 #[rstest]
-fn a_permit_binds_also_where_the_replica_is_taken_for_warm() {
+fn a_permit_limits_the_time_though_the_replica_is_known_as_warm() {
     let standing = Standing::new(&replica(0), &view(BOUNDED), 1_000);
     let permit = permit("replica", 1_500);
     let clearance = standing.clear(&work(1_000, Some(&permit)));
@@ -106,7 +106,7 @@
 }
 
 #[rstest]
-fn whoever_keeps_the_budget_says_when_the_next_may_go() {
+fn the_owner_of_the_budget_sets_when_the_next_request_may_go() {
     let mut standing = Standing::new(&replica(3_000), &view(BOUNDED), 1_000);
     standing.opens_at = 2_000;
     assert_eq!(standing.takes(&work(1_999, None)), Err(Unfit::WarmingUp));
@@ -114,29 +114,29 @@
 }
 
 #[rstest]
-fn a_service_that_names_no_bound_is_sent_all() {
+fn a_service_without_a_bound_takes_everything() {
     let standing = Standing::new(&replica(3_000), &view(None), 1_000);
     assert_eq!(standing.takes(&work(1_000, None)), Ok(()));
 }
 
 #[rstest]
-fn it_may_warm_up_again() {
+fn a_warm_replica_may_warm_up_again() {
     let mut standing = Standing::new(&replica(0), &view(BOUNDED), 0);
     assert_eq!(standing.takes(&work(5_000, None)), Ok(()));
     standing.renew(&replica(3_000), &view(BOUNDED), 5_000);
     assert_eq!(standing.takes(&work(5_000, None)), Err(Unfit::WarmingUp));
-    // Another view of the same entry is no new start.
+    // Another view with the same entry is no new warm-up.
     standing.renew(&replica(3_000), &view(BOUNDED), 7_000);
     assert_eq!(standing.takes(&work(8_000, None)), Ok(()));
 }
 
-/// Whoever was told less than is known here knows nothing of the warming up.
+/// A process that lacks the entry or the bound does not know of the warm-up.
 #[rstest]
 #[case(Some(3_000), BOUNDED, true)]
 #[case(Some(0), BOUNDED, false)]
 #[case(Some(3_000), None, false)]
 #[case(None, BOUNDED, false)]
-fn another_view_may_lack_the_entry_or_the_bound(
+fn views_agree_on_a_warm_up_if_both_have_the_entry_and_the_bound(
     #[case] told_ms: Option<u64>,
     #[case] warm_up: Option<WarmUp>,
     #[case] knows: bool,
--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -1,7 +1,8 @@
-//! Which start of a replica something was said by, or is known of.
+//! Lives of a replica: which of its starts a message or an entry is of.
 //!
-//! A replica may start again under the id that it had. It then holds and knows nothing
-//! of before, so what is known of it is of its id or of one life.
+//! A replica may start again under its id. It then serves and remembers nothing of before, so what
+//! is known of a replica is of its id or of one life. [`Lives`] owns the newest known life of each
+//! replica, as one process knows it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -9,15 +10,15 @@
 use std::sync::Arc;
 
 /// One life of a replica, from a start to its end: the Unix time of the start in ms, as the
-/// replica tells it. Untold is lower than any told one; a word that tells none is taken as of the
-/// life that is known ([`LifeChange::Same`]).
+/// replica reports it. [`Life::UNKNOWN`] is lower than any reported one; a message that reports
+/// none counts as of the known life ([`LifeChange::Same`]).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Life(Option<u64>);
 
 impl Life {
-    /// The replica does not tell its start.
+    /// The replica does not report its start.
     pub const UNKNOWN: Self = Self(None);
 
     /// A life that began at `born`, in Unix ms of the replica's clock.
@@ -25,7 +26,7 @@
         Self(Some(born))
     }
 
-    /// Whether the replica told its start.
+    /// Whether the replica reported its start.
     pub const fn is_told(self) -> bool {
         self.0.is_some()
     }
@@ -50,8 +51,8 @@
 }
 
 impl Identity {
-    /// One name for both, where things are counted by name, also in a log whose older entries
-    /// have ids alone: `id`, or `id@life` where a life is told.
+    /// A name for things that are counted by name, also by older log entries, which have ids only:
+    /// `id`, or `id@life` where the life was reported.
     pub fn name(&self) -> Arc<str> {
         if self.life.is_told() {
             format!("{}@{}", self.id, self.life).into()
@@ -61,19 +62,19 @@
     }
 }
 
-/// A word of a lower life alone counts after this time without a word of the known one, in
-/// ms: the clock of the replica's machine was set back between two starts. An entry, an
-/// answer or a report may come seconds late, and a living replica writes its entry
-/// several times in it.
+/// Time after which a lower life counts as the present one if nothing of the known life arrived
+/// meanwhile, in ms: the clock of the replica's machine was set back between two starts. Entries,
+/// answers and reports may be seconds late, and a live replica writes its entry several times in
+/// this time. Other figures were not measured.
 pub const SET_BACK_MS: u64 = 10_000;
-/// Time for which a replica's life is known after its entry went, in ms: longer than any
-/// word is late.
+/// Time for which a replica's life stays known after its entry went, in ms: longer than any
+/// message is late. Other figures were not measured.
 const KEPT_MS: u64 = 60_000;
 
-/// What a word of a replica tells of its life.
+/// What a message or an entry says of a replica's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifeChange {
-    /// The life that is known, or none is told: nothing is told apart.
+    /// The known life, or none was reported.
     Same,
     /// The replica was not known.
     First,
@@ -82,46 +83,47 @@
         /// The life before.
         before: Life,
     },
-    /// Said by an earlier life: it tells nothing.
+    /// Of an earlier life: it is to be ignored.
     Older,
 }
 
-/// Where a life is told.
+/// Where a life was reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Word {
-    /// The replica said it.
-    Own,
-    /// An entry that is newer than those that were read.
+enum Origin {
+    /// By the replica itself.
+    Replica,
+    /// In an entry that is newer than all that were observed.
     NewEntry,
-    /// An entry that was read before, or an older one: no new word of any life.
+    /// In an entry that was observed before, or an older one: nothing new of any life.
     KnownEntry,
 }
 
+/// What is known of a replica's lives.
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownLife {
     life: Life,
     /// Highest revision of its entries so far.
     revision: u64,
-    /// A lower life, and since when nothing else was heard.
+    /// A lower life that was reported, and since when nothing of the known life arrived.
     lower: Option<(Life, u64)>,
-    /// When its entry was last there, in ms.
+    /// When its entry was last in a view, in ms.
     listed_at: u64,
 }
 
-/// The newest life of each replica that this process has heard of, by id. A life never goes
-/// back, but for a clock that was set back ([`SET_BACK_MS`]).
+/// The newest known life of each replica, by id. It goes back only where a clock was set back
+/// ([`SET_BACK_MS`]). Times are in ms of a steady clock.
 #[derive(Clone, Debug, Default)]
 pub struct Lives {
-    known: HashMap<Arc<str>, Known>,
+    known: HashMap<Arc<str>, KnownLife>,
 }
 
 impl Lives {
-    /// The life that is known; untold where none is.
+    /// The known life; [`Life::UNKNOWN`] where none is.
     pub fn of(&self, id: &str) -> Life {
         self.known.get(id).map_or(Life::UNKNOWN, |known| known.life)
     }
 
-    /// The replica in the life that is known.
+    /// The replica in its known life.
     pub fn identity(&self, id: &str) -> Identity {
         Identity {
             id: id.into(),
@@ -129,36 +131,36 @@
         }
     }
 
-    /// Whether something is of the life that is known.
+    /// Whether something is of the known life.
     pub fn is_present(&self, replica: &Identity) -> bool {
         self.of(&replica.id) == replica.life
     }
 
-    /// A replica told its life itself, at `now` (ms of a steady clock).
+    /// A replica reported its life itself.
     pub fn hear(&mut self, id: &str, life: Life, now: u64) -> LifeChange {
         let Some(known) = self.known.get_mut(id) else {
-            return self.meet(id, life, 0, now);
+            return self.add(id, life, 0, now);
         };
-        known.hear(life, Word::Own, now)
+        known.observe(life, Origin::Replica, now)
     }
 
-    /// Its entry, of this revision, tells a life.
+    /// A replica's entry of this revision reports a life.
     pub fn hear_entry(&mut self, id: &str, life: Life, revision: u64, now: u64) -> LifeChange {
         let Some(known) = self.known.get_mut(id) else {
-            return self.meet(id, life, revision, now);
+            return self.add(id, life, revision, now);
         };
-        let word = if revision > known.revision {
-            Word::NewEntry
+        let origin = if revision > known.revision {
+            Origin::NewEntry
         } else {
-            Word::KnownEntry
+            Origin::KnownEntry
         };
         known.revision = known.revision.max(revision);
         known.listed_at = now;
-        known.hear(life, word, now)
+        known.observe(life, origin, now)
     }
 
-    fn meet(&mut self, id: &str, life: Life, revision: u64, now: u64) -> LifeChange {
-        let known = Known {
+    fn add(&mut self, id: &str, life: Life, revision: u64, now: u64) -> LifeChange {
+        let known = KnownLife {
             life,
             revision,
             lower: None,
@@ -168,17 +170,17 @@
         LifeChange::First
     }
 
-    /// Whether what tells a life is not of an earlier one; what tells none may be of any.
-    pub fn may_say(&self, id: &str, life: Life) -> bool {
+    /// Whether an entry with this life may be of the known one; one without a life may be of any.
+    pub fn may_be_present(&self, id: &str, life: Life) -> bool {
         !life.is_told() || life == self.of(id)
     }
 
-    /// Whether a lower life was heard that may yet be the present one.
+    /// Whether a lower life was reported that may yet prove to be the present one.
     pub fn is_uncertain(&self) -> bool {
         self.known.values().any(|known| known.lower.is_some())
     }
 
-    /// Drops replicas whose entries went long ago.
+    /// Forgets replicas whose entries went long ago.
     pub fn forget_gone(&mut self, is_listed: impl Fn(&str) -> bool, now: u64) {
         self.known.retain(|id, known| {
             if is_listed(id) {
@@ -189,16 +191,16 @@
     }
 }
 
-impl Known {
-    fn hear(&mut self, life: Life, word: Word, now: u64) -> LifeChange {
+impl KnownLife {
+    fn observe(&mut self, life: Life, origin: Origin, now: u64) -> LifeChange {
         if !life.is_told() {
             return LifeChange::Same;
         }
         if life == self.life {
-            self.confirm(word, now);
+            self.confirm(origin, now);
             return LifeChange::Same;
         }
-        if life < self.life && !self.counts_lower(life, word, now) {
+        if life < self.life && !self.is_set_back(life, origin, now) {
             return LifeChange::Older;
         }
         self.lower = None;
@@ -206,22 +208,24 @@
         LifeChange::Reborn { before }
     }
 
-    /// The known life was heard. Where its entry tells it, that is that; what the replica
-    /// told itself may have been on its way while a lower life wrote the entry.
-    fn confirm(&mut self, word: Word, now: u64) {
-        match (word, &mut self.lower) {
-            (Word::NewEntry, lower) => *lower = None,
-            (Word::Own, Some((_, since))) => *since = now,
-            (Word::Own, None) | (Word::KnownEntry, _) => {}
+    /// The known life was reported again. A new entry of it disproves a lower life. What the replica
+    /// reported itself only postpones that life, as it may have been under way while the lower
+    /// life wrote its entry.
+    fn confirm(&mut self, origin: Origin, now: u64) {
+        match (origin, &mut self.lower) {
+            (Origin::NewEntry, lower) => *lower = None,
+            (Origin::Replica, Some((_, since))) => *since = now,
+            (Origin::Replica, None) | (Origin::KnownEntry, _) => {}
         }
     }
 
-    /// Notes a lower life; true once it was heard for [`SET_BACK_MS`].
-    fn counts_lower(&mut self, life: Life, word: Word, now: u64) -> bool {
+    /// Records a lower life; returns whether it counts: it was reported for [`SET_BACK_MS`] without
+    /// anything of the known one.
+    fn is_set_back(&mut self, life: Life, origin: Origin, now: u64) -> bool {
         match self.lower {
             Some((lower, since)) if lower == life => now >= since + SET_BACK_MS,
             _ => {
-                if word != Word::KnownEntry {
+                if origin != Origin::KnownEntry {
                     self.lower = Some((life, now));
                 }
                 false
--- a/crates/fleet/tests/life.rs
+++ b/crates/fleet/tests/life.rs
@@ -1,4 +1,4 @@
-//! Lives of a replica: which word counts, whichever comes first.
+//! Lives of a replica: which report counts, whichever comes first.
 
 use brasspond_fleet::{Life, LifeChange, Lives, SET_BACK_MS};
 use proptest::prelude::*;
@@ -11,18 +11,18 @@
     LifeChange::Reborn { before }
 }
 
-/// Untold is no told life, also not one that began at 0.
+/// No life is not the same as one that began at 0.
 #[rstest]
-fn an_untold_life_is_distinct() {
+fn an_unknown_life_differs_from_every_reported_one() {
     assert_ne!(Life::UNKNOWN, Life::told(0));
     assert!(Life::UNKNOWN < Life::told(0));
     assert!(OLD < NEW);
 }
 
-/// Whichever of entry and replica is heard first, the newer life counts once, and an older
-/// word after it does nothing.
+/// Whichever of entry and replica is first, the newer life counts once, and an older report after it
+/// does nothing.
 #[rstest]
-fn a_life_never_goes_back() {
+fn an_older_life_is_ignored() {
     let mut lives = Lives::default();
     assert_eq!(lives.hear_entry("one", OLD, 5, 0), LifeChange::First);
     assert_eq!(lives.hear("one", NEW, 10), reborn(OLD));
@@ -32,9 +32,9 @@
     assert_eq!(lives.of("one"), NEW);
 }
 
-/// Words without a life tell nothing apart; the first told one voids what was known.
+/// Reports without a life change nothing; the first one with a life voids what was known.
 #[rstest]
-fn a_fleet_may_be_mixed() {
+fn reports_without_a_life_count_as_of_the_known_one() {
     let mut lives = Lives::default();
     assert_eq!(
         lives.hear_entry("one", Life::UNKNOWN, 1, 0),
@@ -49,9 +49,9 @@
     assert_eq!(lives.of("one"), OLD);
 }
 
-/// A lower life counts once nothing else was heard for long.
+/// A lower life counts once nothing of the known one arrived for long.
 #[rstest]
-fn a_clock_may_be_set_back() {
+fn a_lower_life_counts_after_the_set_back_time() {
     let mut lives = Lives::default();
     lives.hear_entry("one", NEW, 5, 0);
     assert_eq!(lives.hear_entry("one", OLD, 6, 10), LifeChange::Older);
@@ -60,29 +60,29 @@
     assert_eq!(lives.of("one"), OLD);
 }
 
-/// A word of the life before that comes late puts that off, and does not undo it.
+/// A late report of the life before postpones that, and does not undo it.
 #[rstest]
-fn a_late_word_undoes_no_set_back() {
+fn a_late_report_postpones_a_set_back() {
     let mut lives = Lives::default();
     lives.hear_entry("one", NEW, 5, 0);
     lives.hear_entry("one", OLD, 6, 10);
     assert_eq!(lives.hear("one", NEW, 500), LifeChange::Same);
     assert!(lives.is_uncertain());
-    let heard = lives.hear_entry("one", OLD, 6, 499 + SET_BACK_MS);
-    assert_eq!(heard, LifeChange::Older);
-    let heard = lives.hear_entry("one", OLD, 6, 500 + SET_BACK_MS);
-    assert_eq!(heard, reborn(NEW));
+    let change = lives.hear_entry("one", OLD, 6, 499 + SET_BACK_MS);
+    assert_eq!(change, LifeChange::Older);
+    let change = lives.hear_entry("one", OLD, 6, 500 + SET_BACK_MS);
+    assert_eq!(change, reborn(NEW));
 }
 
-/// A stale entry that is read again and again is one word, and no new one.
+/// A stale entry that is read again and again is one report.
 #[rstest]
-fn a_stale_entry_sets_nothing_back() {
+fn a_stale_entry_is_no_set_back() {
     let mut lives = Lives::default();
     lives.hear_entry("one", OLD, 5, 0);
     lives.hear("one", NEW, 10);
     for step in 1..10 {
-        let heard = lives.hear_entry("one", OLD, 5, step * SET_BACK_MS);
-        assert_eq!(heard, LifeChange::Older);
+        let change = lives.hear_entry("one", OLD, 5, step * SET_BACK_MS);
+        assert_eq!(change, LifeChange::Older);
     }
     // A late write of the old life, which the new one writes over.
     assert_eq!(lives.hear_entry("one", OLD, 6, 200_000), LifeChange::Older);
@@ -91,9 +91,9 @@
     assert_eq!(lives.hear_entry("one", OLD, 7, later), LifeChange::Older);
 }
 
-/// A life is known for a while after its entry went, and then no longer.
+/// A life stays known for some time after its entry went.
 #[rstest]
-fn lives_of_gone_replicas_are_dropped() {
+fn lives_of_gone_replicas_are_forgotten() {
     let mut lives = Lives::default();
     lives.hear_entry("one", NEW, 5, 0);
     lives.forget_gone(|_| true, 100_000);
@@ -104,23 +104,23 @@
 }
 
 proptest! {
-    /// Words in any order, all within the time of a set-back: the highest life counts.
+    /// Reports in any order, all within the set-back time: the highest life counts.
     #[test]
-    fn the_highest_life_counts(words in prop::collection::vec((0u64..4, any::<bool>()), 1..40)) {
+    fn the_highest_life_counts(reports in prop::collection::vec((0u64..4, any::<bool>()), 1..40)) {
         let mut lives = Lives::default();
         let mut highest = Life::UNKNOWN;
-        for (step, (born, is_entry)) in words.iter().enumerate() {
+        for (step, (born, is_entry)) in reports.iter().enumerate() {
             let life = if *born == 0 { Life::UNKNOWN } else { Life::told(*born) };
             let step = step as u64;
-            let heard = if *is_entry {
+            let change = if *is_entry {
                 lives.hear_entry("one", life, step, step)
             } else {
                 lives.hear("one", life, step)
             };
             let is_first = step == 0;
             let is_newer = life > highest;
-            prop_assert_eq!(heard == LifeChange::First, is_first);
-            let is_reborn = matches!(heard, LifeChange::Reborn { .. });
+            prop_assert_eq!(change == LifeChange::First, is_first);
+            let is_reborn = matches!(change, LifeChange::Reborn { .. });
             prop_assert_eq!(is_reborn, is_newer && !is_first);
             highest = highest.max(life);
             prop_assert_eq!(lives.of("one"), highest);
--- a/crates/warmup/src/budget.rs
+++ b/crates/warmup/src/budget.rs
@@ -1,12 +1,16 @@
-//! Grants in a sliding span.
+//! How many requests a replica that warms up may still be sent.
+//!
+//! Owns the moments of its grants that count.
 
 use crate::rate::Rate;
 use brasspond_units::Millis;
 use std::collections::VecDeque;
 
-/// Time after its own beginning up to which a new leader takes the one before to have granted
-/// all that there was, in ms. No two surely lead at one moment; this is for a clock or a view
-/// of it that is wrong by less. It delays the first grant after a change of leader by as much.
+/// Time for which the leader before may go on granting after a new one begins, in ms: until then
+/// the new one counts all that replicas bear as granted, which delays its first grant by as much.
+/// Two leaders are never confirmed at one moment by true clocks; this covers one that was
+/// suspended between the check and the grant. The longest such overlap that fuzzing found is 351
+/// ms (`tests/granting.rs`).
 pub const LEADERS_OVERLAP: Millis = 500;
 
 /// What a replica may be granted: at most [`Rate::most`] in any span of [`Rate::span_ms`].
@@ -18,7 +22,7 @@
 }
 
 impl Budget {
-    /// A budget of which nothing is left at `at`, which may lie ahead: what goes to the
+    /// A budget of which nothing is left at `at`, which may be in the future: what is sent to the
     /// replica until then is not known, and counts as all that it bears.
     pub fn spent(rate: Rate, at: Millis) -> Self {
         let granted = std::iter::repeat_n(at, rate.most as usize);
@@ -28,27 +32,27 @@
         }
     }
 
-    /// Nothing is left at `at`: others may have sent all that it bears.
+    /// Counts all as granted at `at`, as in [`Budget::spent`].
     pub fn spend_all(&mut self, at: Millis) {
         *self = Self::spent(self.rate, at);
     }
 
-    /// The same replica bears more or less from now on. What it bears more is not known to
-    /// be unspent: nothing is left at `at`, as in [`Budget::spent`].
+    /// The replica bears more or less from now on. Another process may have granted the
+    /// difference: all counts as granted at `at`, as in [`Budget::spent`].
     pub fn set_rate(&mut self, rate: Rate, at: Millis) {
         if rate != self.rate {
             *self = Self::spent(rate, at);
         }
     }
 
-    /// From when on the next request may be granted, in ms.
+    /// When the next request may be granted, in ms; 0: at once.
     pub fn opens_at(&self) -> Millis {
         let is_full = self.granted.len() >= self.rate.most as usize;
         let oldest = self.granted.front().filter(|_| is_full);
         oldest.map_or(0, |at| at + self.rate.span_ms)
     }
 
-    /// Requests that may be granted at once.
+    /// Requests that may be granted at `now`.
     pub fn left(&self, now: Millis) -> usize {
         (self.rate.most as usize).saturating_sub(self.counted(now))
     }
@@ -76,11 +80,12 @@
         true
     }
 
-    /// A request that was granted at `at` was certainly not sent, and will not be.
+    /// Gives back what was granted at `at`: the request certainly was not sent, and will not be.
+    /// Nothing happens where nothing was granted then, or it counts no more.
     pub fn give_back(&mut self, at: Millis) {
-        let place = self.granted.iter().rposition(|granted| *granted == at);
-        if let Some(place) = place {
-            self.granted.remove(place);
+        let number = self.granted.iter().rposition(|granted| *granted == at);
+        if let Some(number) = number {
+            self.granted.remove(number);
         }
     }
 }
--- a/crates/warmup/src/rate.rs
+++ b/crates/warmup/src/rate.rs
@@ -1,4 +1,4 @@
-//! How many requests a replica that warms up bears, in whole numbers.
+//! How many requests a replica that warms up bears, as grants in a span of time.
 
 use crate::permit::PERMIT_MS;
 use brasspond_fleet::WarmUp;
@@ -6,22 +6,23 @@
 
 /// A second, in ms.
 const SECOND: Millis = 1_000;
-/// Longest span of a budget, in ms: fewer than one request in so long is none.
+/// Longest span of a budget without [`PERMIT_MS`], in ms: an hour, longer than any warm-up period.
+/// A rate of 0 has it.
 const LONGEST_SPAN: f64 = 3_600_000.0;
 
-/// So many grants in any span of so many ms.
+/// At most `most` grants in any span of `span_ms`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
     /// Grants in a span, at least 1.
     pub most: u32,
-    /// Length of the span: that in which requests are counted, and the time in which a
-    /// granted one may still leave.
+    /// Length of the span in ms: that in which requests are counted, and [`PERMIT_MS`], in which a
+    /// granted one may still be sent.
     pub span_ms: Millis,
 }
 
 impl Rate {
-    /// Of what a service's replicas bear: whole requests a second, or one in several
-    /// seconds where they bear less than one.
+    /// The rate of a service's replicas: whole requests a second, rounded down, or one in several
+    /// seconds where they bear less than one a second.
     pub fn of(warm_up: &WarmUp) -> Self {
         let per_second = warm_up.per_second;
         if per_second >= 1.0 {
--- a/crates/warmup/tests/budget.rs
+++ b/crates/warmup/tests/budget.rs
@@ -1,4 +1,4 @@
-//! A budget alone: never over its rate, and well used.
+//! A budget by itself: never over its rate, and well used.
 
 use brasspond_fleet::WarmUp;
 use brasspond_warmup::{Budget, PERMIT_MS, Rate};
@@ -34,7 +34,7 @@
 }
 
 #[rstest]
-fn nothing_is_left_of_a_time_that_is_not_known() {
+fn a_spent_budget_opens_after_its_span() {
     let mut budget = Budget::spent(rate(12.0), 5_000);
     assert_eq!(budget.opens_at(), 6_100);
     assert!(!budget.take(6_099));
@@ -43,7 +43,7 @@
 }
 
 #[rstest]
-fn what_was_not_sent_may_be_granted_again() {
+fn a_grant_that_was_given_back_may_be_granted_again() {
     let mut budget = Budget::spent(rate(2.0), 0);
     assert!(budget.take(2_000) && budget.take(2_010));
     assert!(!budget.take(2_020));
@@ -56,7 +56,7 @@
 }
 
 #[rstest]
-fn a_changed_rate_begins_with_nothing() {
+fn a_changed_rate_begins_with_nothing_left() {
     let mut budget = Budget::spent(rate(2.0), 0);
     budget.set_rate(rate(2.0), 900);
     assert!(budget.take(1_100));
@@ -65,14 +65,14 @@
     assert_eq!(budget.left(2_300), 5);
 }
 
-/// Work that waits all the time, looked at each so many ms, uses nine tenths.
+/// Work that always waits, and takes a grant each so many ms if there is one, uses nine tenths.
 #[rstest]
 #[case(1)]
 #[case(5)]
-fn nine_tenths_are_used(#[case] look_ms: usize) {
+fn waiting_work_uses_nine_tenths_of_the_budget(#[case] pause_ms: usize) {
     let mut budget = Budget::spent(rate(12.0), 0);
     let granted = (2_000..62_000)
-        .step_by(look_ms)
+        .step_by(pause_ms)
         .filter(|now| budget.take(*now));
     let granted = granted.count();
     assert!(granted >= 648, "{granted} of 720");
@@ -81,7 +81,7 @@
 proptest! {
     /// However grants, returns and the delays of sending fall.
     #[test]
-    fn no_sliding_second_has_more(
+    fn no_sliding_second_exceeds_the_rate(
         per_second in 1_u32..40,
         steps in proptest::collection::vec((0_u64..60, 0_u64..PERMIT_MS, 0_u8..10), 1..400),
     ) {
--- a/crates/warmup/tests/granting.rs
+++ b/crates/warmup/tests/granting.rs
@@ -3,7 +3,7 @@
 
 use brasspond_fleet::WarmUp;
 use brasspond_golden::{Digest, check_lines};
-use brasspond_warmup::{Budget, LEADERS_OVERLAP, PERMIT_MS, PeerClock, Permit, Rate, Spell};
+use brasspond_warmup::{Budget, LEADERS_OVERLAP, PERMIT_MS, PeerClock, Permit, Rate, WarmUpPeriod};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
@@ -14,8 +14,8 @@
 const EDGES: usize = 5;
 /// Length of a step, in ms.
 const STEP: u64 = 5;
-/// Pause between two words of an edge to its leader, in ms.
-const WORD_PAUSE: u64 = 500;
+/// Pause between two messages of an edge to its leader, in ms.
+const MESSAGE_PAUSE: u64 = 500;
 
 /// What is built in to see that the count notices it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     UnspentStart,
     /// Edges send however late a permit arrives.
     LateSent,
-    /// A leader takes an edge's clock for ahead of what it was told.
+    /// A leader estimates an edge's clock ahead of what its messages show.
     ClockGuessed,
     /// A new leader believes that the one before ended as it began.
     OverlapIgnored,
@@ -39,8 +39,8 @@
     delays: Vec<u64>,
     /// Moments at which another leader begins, and for how long the one before goes on.
     changes: Vec<(u64, u64)>,
-    /// Moments at which an edge stands still, and for how long.
-    stands: Vec<(usize, u64, u64)>,
+    /// Edges that are suspended, from when and for how long.
+    suspensions: Vec<(usize, u64, u64)>,
 }
 
 struct Leader {
@@ -52,7 +52,7 @@
 struct Edge {
     /// Permits on their way or waiting to be read: when they arrive.
     inbox: VecDeque<(u64, Permit)>,
-    words: Vec<(u64, u64)>,
+    messages: Vec<(u64, u64)>,
 }
 
 struct Play<'a> {
@@ -77,7 +77,7 @@
     fn new(plan: &'a Plan, mutation: Option<Mutation>) -> Self {
         let edges = (0..EDGES).map(|_| Edge {
             inbox: VecDeque::new(),
-            words: Vec::new(),
+            messages: Vec::new(),
         });
         Self {
             plan,
@@ -95,10 +95,10 @@
         self.plan.delays[self.delays % self.plan.delays.len()]
     }
 
-    fn stands_still(&self, edge: usize, now: u64) -> bool {
-        let stands = self.plan.stands.iter();
-        let mut stands = stands.filter(|(one, ..)| *one == edge);
-        stands.any(|(_, from, ms)| (*from..from + ms).contains(&now))
+    fn is_suspended(&self, edge: usize, now: u64) -> bool {
+        let suspensions = self.plan.suspensions.iter();
+        let mut suspensions = suspensions.filter(|(one, ..)| *one == edge);
+        suspensions.any(|(_, from, ms)| (*from..from + ms).contains(&now))
     }
 
     fn begin_leaders(&mut self, now: u64) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Leaders hear edges' words, and grant all that they may.
+    /// Leaders receive edges' messages and grant all that they may.
     fn grant(&mut self, now: u64) {
         // Leaders' clocks are ahead by a constant, so that they are not the true time.
         let own = now + 10_000;
@@ -130,9 +130,9 @@
                 continue;
             }
             for edge in 0..EDGES {
-                for (arrives, theirs) in &self.edges[edge].words {
+                for (arrives, theirs) in &self.edges[edge].messages {
                     if *arrives <= now && now < arrives + STEP {
-                        self.leaders[number].clocks[edge].note(*theirs, own);
+                        self.leaders[number].clocks[edge].observe(*theirs, own);
                     }
                 }
             }
@@ -161,12 +161,12 @@
     fn send(&mut self, now: u64) {
         for edge in 0..EDGES {
             let clock = now + self.plan.ahead[edge];
-            if self.stands_still(edge, now) {
+            if self.is_suspended(edge, now) {
                 continue;
             }
-            if now.is_multiple_of(WORD_PAUSE) {
+            if now.is_multiple_of(MESSAGE_PAUSE) {
                 let arrives = now + self.delay();
-                self.edges[edge].words.push((arrives, clock));
+                self.edges[edge].messages.push((arrives, clock));
             }
             let due = std::mem::take(&mut self.edges[edge].inbox);
             let (due, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(at, _)| *at <= now);
@@ -212,7 +212,7 @@
         changes,
         proptest::collection::vec((0..EDGES, 0_u64..9_000, 0_u64..3_000), 0..6),
     )
-        .prop_map(|(ahead, delays, changes, stands)| {
+        .prop_map(|(ahead, delays, changes, suspensions)| {
             let mut changes = changes;
             changes.push((0, 0));
             changes.sort_unstable();
@@ -220,7 +220,7 @@
                 ahead,
                 delays,
                 changes,
-                stands,
+                suspensions,
             }
         })
 }
@@ -243,7 +243,7 @@
     }
 }
 
-/// A change that is to leave all decisions as they are leaves these digests as they are.
+/// Guards changes that are to keep all decisions: the digests of the permits granted stay.
 #[rstest]
 fn decisions_are_as_kept() {
     const PLAYS: u64 = 60;
@@ -264,12 +264,12 @@
 /// A play in which all that may go wrong does. Two rounds of grants reach edges that stand
 /// still, and wait there until all go on.
 fn rough_plan() -> Plan {
-    let stands = (0..EDGES).map(|edge| (edge, 6_900, 2_150));
+    let suspensions = (0..EDGES).map(|edge| (edge, 6_900, 2_150));
     Plan {
         ahead: vec![0, 7_000, 90_000, 1, 500_000],
         delays: vec![2, 40, 3, 900, 5, 300, 1, 1_400, 7],
         changes: vec![(0, 0), (1_500, 300), (3_000, 500)],
-        stands: stands.collect(),
+        suspensions: suspensions.collect(),
     }
 }
 
@@ -284,10 +284,10 @@
     assert!(most(Some(mutation)) > PER_SECOND as usize, "{mutation:?}");
 }
 
-/// A leader that counted as spent what went before its own beginning, and no more, began
-/// while the one before went on for 351 ms: 23 requests in a second.
+/// A leader that counts as granted only what was granted before its own beginning exceeds the rate
+/// where the one before goes on for 351 ms: 23 requests in a second.
 #[rstest]
-fn leaders_that_overlap_keep_to_the_bound() {
+fn overlapping_leaders_stay_within_the_rate() {
     let mut delays = vec![0; 39];
     delays[18] = 5;
     delays[38] = 5;
@@ -295,7 +295,7 @@
         ahead: vec![0; EDGES],
         delays,
         changes: vec![(0, 0), (0, 0), (1_020, 0), (4_215, 351)],
-        stands: vec![(0, 350, 2_151)],
+        suspensions: vec![(0, 350, 2_151)],
     };
     let most = |mutation| most_in_a_second(&Play::new(&plan, mutation).run(10_000));
     assert!(most(None) <= PER_SECOND as usize);
@@ -303,12 +303,12 @@
 }
 
 #[rstest]
-fn work_that_waits_uses_nine_tenths() {
+fn waiting_work_uses_nine_tenths_of_the_budget() {
     let plan = Plan {
         ahead: vec![3; EDGES],
         delays: vec![2],
         changes: vec![(0, 0)],
-        stands: Vec::new(),
+        suspensions: Vec::new(),
     };
     let sent = Play::new(&plan, None).run(22_000);
     let later = sent.iter().filter(|at| **at >= 2_000).count();
@@ -316,49 +316,52 @@
 }
 
 #[rstest]
-fn a_spell_lasts_as_its_entry_told() {
-    let mut spell = Spell::default();
-    assert!(!spell.is_on(0));
-    spell.observe(3_000, 1, 1_000);
-    assert!(spell.is_on(3_999) && !spell.is_on(4_000));
+fn a_warm_up_period_lasts_as_long_as_its_entry_says() {
+    let mut period = WarmUpPeriod::default();
+    assert!(!period.is_on(0));
+    period.observe(3_000, 1, 1_000);
+    assert!(period.is_on(3_999) && !period.is_on(4_000));
     // The entry changed elsewhere, as with each load of weights.
-    spell.observe(3_000, 2, 3_500);
-    assert_eq!(spell.until(), 4_000);
-    spell.observe(200, 3, 3_600);
-    assert_eq!(spell.until(), 3_800);
-    spell.observe(0, 4, 3_700);
-    assert!(!spell.is_on(3_700));
+    period.observe(3_000, 2, 3_500);
+    assert_eq!(period.until(), 4_000);
+    period.observe(200, 3, 3_600);
+    assert_eq!(period.until(), 3_800);
+    period.observe(0, 4, 3_700);
+    assert!(!period.is_on(3_700));
     // It lost its caches.
-    spell.observe(3_000, 5, 9_000);
-    assert!(spell.is_on(9_000));
+    period.observe(3_000, 5, 9_000);
+    assert!(period.is_on(9_000));
 }
 
 #[rstest]
-fn a_clock_is_never_told_ahead() {
+fn a_peer_clock_is_never_estimated_ahead() {
     let mut clock = PeerClock::default();
     assert_eq!(clock.at_least(100), None);
     // Theirs is 50 ahead; the first message took 30 ms, the second 2.
-    clock.note(120, 100);
+    clock.observe(120, 100);
     assert_eq!(clock.at_least(110), Some(130));
-    clock.note(198, 150);
+    clock.observe(198, 150);
     assert_eq!(clock.at_least(200), Some(248));
-    // A slow message tells nothing new.
-    clock.note(1_000, 1_900);
+    // A slow message changes nothing.
+    clock.observe(1_000, 1_900);
     assert_eq!(clock.at_least(2_000), Some(2_048));
-    // What a drifting clock once showed is forgotten.
-    clock.note(40_010, 40_000);
-    clock.note(80_020, 80_000);
+    // Old messages of a clock that drifts are forgotten.
+    clock.observe(40_010, 40_000);
+    clock.observe(80_020, 80_000);
     assert_eq!(clock.at_least(80_000), Some(80_020));
 }
 
-/// The same time in a newer entry, once the first spell is over, is a new spell whose entries
-/// between were not seen; in the same entry it is the old one.
+/// The same time in a newer entry, after the end of the first period, is a new period whose
+/// earlier entries were not observed; in the same entry it is the old one.
 #[rstest]
 #[case::a_newer_entry(2, true)]
 #[case::the_same_entry(1, false)]
-fn the_same_time_told_again_after_its_end(#[case] revision: u64, #[case] is_on: bool) {
-    let mut spell = Spell::default();
-    spell.observe(3_000, 1, 0);
-    spell.observe(3_000, revision, 11_000);
-    assert_eq!(spell.is_on(11_100), is_on);
+fn the_same_time_after_the_end_is_a_new_period_in_a_newer_entry_only(
+    #[case] revision: u64,
+    #[case] is_on: bool,
+) {
+    let mut period = WarmUpPeriod::default();
+    period.observe(3_000, 1, 0);
+    period.observe(3_000, revision, 11_000);
+    assert_eq!(period.is_on(11_100), is_on);
 }
