--- a/crates/cluster/src/storage/applying.rs
+++ b/crates/cluster/src/storage/applying.rs
@@ -1,4 +1,7 @@
-//! Committed entries: into the table, then told to those they concern.
+//! Committed entries: applied to the table, then passed on to whom they concern: the dispatcher,
+//! askers, the order log, texts on the disk.
+//!
+//! Relies on entries coming in the log's order, each once.
 
 use super::process::{ProcessError, Storage};
 use brasspond_consensus::{Entry, Payload};
@@ -8,6 +11,10 @@
 use brasspond_quarantine::{Change, Fingerprint};
 
 impl Storage {
+    /// Applies a committed entry.
+    ///
+    /// # Errors
+    /// The entry cannot be decoded: this process must not go on, since it would skip it.
     pub(super) fn apply(&mut self, entry: Entry) -> Result<(), ProcessError> {
         let command = match entry.payload {
             Payload::Command(bytes) => {
@@ -25,79 +32,90 @@
             self.intent_applied(entry.index);
         }
         self.remove_texts(&command);
-        let told = Told::of(&command);
+        let effect = Effect::of(&command);
         let accepted = self.table.apply(command);
-        let waits = self.asks.committed(entry.index, self.clock.now());
-        for wait_ms in waits {
+        for wait_ms in self.questions.committed(entry.index, self.clock.now()) {
             self.metrics.commit(wait_ms as f64 / 1_000.0);
         }
-        self.tell(told, accepted);
+        self.pass_on(effect, accepted);
         Ok(())
     }
 
-    fn tell(&mut self, told: Told, accepted: Option<Accepted>) {
-        match told {
-            Told::Accepted(job) if accepted == Some(Accepted::New) => {
+    /// Passes on what a command changed, after it was applied.
+    fn pass_on(&mut self, effect: Effect, accepted: Option<Accepted>) {
+        match effect {
+            Effect::Accepted(job) if accepted == Some(Accepted::New) => {
                 log::info!("event=job_accepted job={job}");
                 let now = self.clock.now();
                 if !self.consensus.has_backlog() {
-                    self.asks.job_taken(&job, now);
+                    self.questions.job_accepted(&job, now);
                 }
                 self.dispatch(Event::JobAccepted(job));
             }
-            Told::Accepted(_) => {}
-            Told::Listed(items) => {
+            Effect::Accepted(_) => {}
+            Effect::Listed(items) => {
                 for (job, item) in items {
                     self.dispatch(Event::Listed { job, item });
                 }
             }
-            Told::Ended(job) => {
+            Effect::Ended(job) => {
                 log::info!("event=job_ended job={job}");
-                self.asks.job_ended(&job);
+                self.questions.job_ended(&job);
                 self.ended_jobs.push(job.clone());
                 self.dispatch(Event::JobEnded(job));
             }
-            Told::Forgotten(jobs) => {
+            Effect::Forgotten(jobs) => {
                 for job in jobs {
-                    self.asks.job_ended(&job);
+                    self.questions.job_ended(&job);
                     self.dispatch(Event::JobForgotten(job));
                 }
             }
-            // Decoding a view is dear: only the newest is, once all is applied.
-            Told::Remembered => self.has_new_remembered = true,
-            Told::Quarantined(contents) => self.quarantine_changed(contents),
-            Told::Nothing => {}
+            // Decoding a view takes long: only the newest is decoded, once all is applied.
+            Effect::Remembered => self.has_new_remembered = true,
+            Effect::Quarantined(contents) => self.quarantine_changed(contents),
+            Effect::Nothing => {}
         }
     }
 
-    /// Takes the newest view that the log keeps.
+    /// Merges the newest view that the log keeps into this process's. One that cannot be decoded
+    /// is logged and left out: the view's source has a newer one.
     pub(super) fn take_remembered(&mut self) {
         self.has_new_remembered = false;
         let Some((_, bytes)) = self.table.remembered() else {
             return;
         };
-        if let Ok(mut view) = rmp_serde::from_slice::<FleetView>(bytes) {
-            // A copy is no knowledge of what is evacuated now.
-            view.forget_evacuated();
-            if self.view.merge(&view) {
-                self.view_changed();
+        match rmp_serde::from_slice::<FleetView>(bytes) {
+            Ok(mut view) => {
+                // A copy is no knowledge of what is evacuated now.
+                view.forget_evacuated();
+                if self.view.merge(&view) {
+                    self.view_changed();
+                }
             }
+            Err(error) => log::error!("event=view_copy_unreadable error=\"{error}\""),
         }
     }
 }
 
-/// What a command means for the dispatcher.
-enum Told {
+/// What a command changed for others than the table.
+enum Effect {
+    /// A job was accepted, or was before.
     Accepted(String),
+    /// These items have their positions, by job and index.
     Listed(Vec<(String, u32)>),
+    /// A job ended.
     Ended(String),
+    /// These jobs are not known any more.
     Forgotten(Vec<String>),
+    /// There is a newer copy of the view.
     Remembered,
+    /// The cases of these contents changed.
     Quarantined(Vec<Fingerprint>),
+    /// Nothing.
     Nothing,
 }
 
-impl Told {
+impl Effect {
     fn of(command: &Command) -> Self {
         match command {
             Command::Accept(submission) => Self::Accepted(submission.id.clone()),
--- a/crates/cluster/src/storage/evacuation.rs
+++ b/crates/cluster/src/storage/evacuation.rs
@@ -1,13 +1,16 @@
-//! Evacuated zones at the leader: what it believes first, and what it spreads at once.
+//! Evacuated zones at the leader: which it goes by as it begins, which edges are sent at once.
+//!
+//! Owns no state: what was last logged stands in [`super::leading::Leading`], what was sent in
+//! [`super::announcing::Announcements`].
 
 use super::process::Storage;
 use brasspond_fleet::{FleetView, ReplicaInfo};
 use brasspond_jobs::Submission;
 
 impl Storage {
-    /// A new leader believes nothing of evacuated zones that it did not hear in its own time:
-    /// the operator may have changed them since it last led. What its watch of the source
-    /// holds at present was heard just now; a watch that ended holds nothing.
+    /// Forgets which zones are evacuated, as a new leader: the operator may have changed them
+    /// since it last led. Only what its watch of the source holds counts, which was received
+    /// just now; a watch that ended holds nothing.
     pub(super) fn renew_evacuated(&mut self) {
         let had = self.view.forget_evacuated();
         let watched = self.platform.observed.borrow().view.evacuated_part();
@@ -21,8 +24,8 @@
         }
     }
 
-    /// Notes in the log what changed, and whether edges must hear of it out of turn.
-    pub(super) fn note_evacuated(&mut self, now: u64) {
+    /// Logs what changed, and records whether edges must be sent it without a pause.
+    pub(super) fn log_evacuated(&mut self, now: u64) {
         let Some(leading) = &mut self.leading else {
             return;
         };
@@ -33,27 +36,28 @@
                 self.source_answers
             );
         }
-        leading.spreads_at_once |= !self.view.evacuates_like(&leading.sent_view);
+        let announcements = &mut leading.announcements;
+        announcements.state.is_urgent |= !self.view.evacuates_like(&announcements.sent_view);
     }
 
-    /// An edge says of evacuated zones what this leader does not: all are told the newest,
-    /// though it may be what they were told last. At the next turn, since all edges speak at
-    /// once to a new leader.
-    pub(super) fn compare_evacuated(&mut self, told: &FleetView) {
-        let differs = told.evacuated_revision > 0 && !told.evacuates_like(&self.view);
+    /// Where an edge's view of evacuated zones is not this leader's, all edges are sent the
+    /// newest, even if it is what they were sent last. With the usual pause, since all edges
+    /// send their views at once to a new leader.
+    pub(super) fn compare_evacuated(&mut self, reported: &FleetView) {
+        let differs = reported.evacuated_revision > 0 && !reported.evacuates_like(&self.view);
         if let Some(leading) = &mut self.leading
             && differs
         {
-            leading.tells_again = true;
-            leading.view_is_new = true;
+            leading.announcements.state.must_repeat = true;
+            leading.announcements.state.is_changed = true;
         }
     }
 
-    /// Whether a new job is certainly not to be served now: its services have replicas, and
-    /// all of them are in evacuated zones. Not while anything proposed is not applied yet,
-    /// which may be the same job.
+    /// Whether a new job is refused because nothing may serve it: its services have ready
+    /// replicas, and all of them are in evacuated zones. Not where its route or replicas are
+    /// unknown, nor while anything proposed is not applied yet, which may be the same job.
     pub(super) fn is_evacuated_job(&self, submission: &Submission) -> bool {
-        if self.asks.has_proposed() || self.consensus.has_backlog() {
+        if self.questions.has_proposed() || self.consensus.has_backlog() {
             return false;
         }
         let configuration = self.view.configuration.as_ref();
--- a/crates/cluster/src/storage/group.rs
+++ b/crates/cluster/src/storage/group.rs
@@ -92,7 +92,7 @@
             self.dial_to(member.address);
             self.note_lost_disks(member);
         }
-        self.has_untold_edges |= matches!(peer, Peer::Edge { .. });
+        self.edges_lack_view |= matches!(peer, Peer::Edge { .. });
         if let Some(state) = self.links.get_mut(&link) {
             state.peer = Some(peer);
         }
@@ -161,7 +161,7 @@
     /// Tells processes outside the group that it is led: at once who its members
     /// are, to each that comes and to all when they change, then signs of life. They
     /// need not look for the group meanwhile.
-    pub(super) fn tell_outside(&mut self, term: u64, now: u64) {
+    pub(super) fn announce_to_outsiders(&mut self, term: u64, now: u64) {
         let is_due = now >= self.group.signed_at + SIGN_PAUSE;
         if is_due {
             self.group.signed_at = now;
@@ -181,8 +181,8 @@
             let Some(state) = self.links.get_mut(link) else {
                 continue;
             };
-            if state.told_term != term {
-                state.told_term = term;
+            if state.announced_term != term {
+                state.announced_term = term;
                 state.writer.send(&leading);
             } else if is_due && !hears_log {
                 let wall = self.clock.wall();
@@ -195,7 +195,7 @@
     pub(super) fn members_applied(&mut self, members: &[Member]) {
         for link in self.group.link_by_member.values() {
             if let Some(state) = self.links.get_mut(link) {
-                state.told_term = 0;
+                state.announced_term = 0;
             }
         }
         let names: Vec<&str> = members.iter().map(|one| one.machine.as_str()).collect();
@@ -203,13 +203,13 @@
         if let Some(leading) = &mut self.leading {
             // Edges are told with the next tick: one that lost its leader before the next
             // regular sign of life would not know where the next one is.
-            leading.told_at = 0;
+            leading.announcements.leader_sent_at = 0;
         }
         self.learn_members(members);
     }
 
     /// A process outside the group looks for it; the very first makes it.
-    pub(super) fn seek_group(&mut self, now: u64) {
+    pub(super) fn search_group(&mut self, now: u64) {
         let is_outside = !self.consensus.is_voter();
         if !is_outside || self.group.registry_busy || now < self.group.registry_at {
             return;
@@ -330,7 +330,7 @@
 
     /// The leader keeps enough live members that stay, where they should stand, one change
     /// at a time.
-    pub(super) fn tend_members(&mut self, now: u64) {
+    pub(super) fn reconcile_members(&mut self, now: u64) {
         self.drop_unlinked_peers();
         let candidates = self.candidates(now);
         let retiring = self.retiring();
@@ -467,7 +467,7 @@
     }
 
     /// The leader writes down who keeps the log, and which machines are empty.
-    pub(super) fn tend_records(&mut self, now: u64) {
+    pub(super) fn reconcile_records(&mut self, now: u64) {
         if self.group.registry_busy || now < self.group.registry_at {
             return;
         }
--- a/crates/cluster/src/storage/order_log.rs
+++ b/crates/cluster/src/storage/order_log.rs
@@ -1,28 +1,34 @@
-//! Who gave the last order on each subject, by this process's own steady clock.
+//! Who announced the last order on each subject, and when this process applied that.
 //!
-//! Every order is announced in the log before it is given, so a new leader knows
-//! on which subjects (a replica, usage, the replicas of a zone) another holder may have
-//! given orders lately, and leaves just those alone for the length of a lease. What is read out of the log counts as done
-//! now. Where the log begins with a snapshot, announcements may have been passed
-//! over: then an order on any subject may have been given just now.
+//! Every order is announced in the log before it is given, so a new leader knows on which
+//! subjects (a replica, usage, the replicas of a zone) another holder may have given orders
+//! lately, and gives none on just those for the length of a lease. An announcement that is read
+//! out of the log counts as made now, by this process's steady clock. Where the log begins with
+//! a snapshot, announcements may be missing: then an order on any subject may have been given
+//! just now.
 
 use brasspond_consensus::{Entry, Payload};
 use brasspond_dispatch::OrderLeases;
 use brasspond_jobs::Command;
+use brasspond_units::Millis;
 use std::collections::HashMap;
 
+/// Entries searched for the last holder, at the most: a start decodes no more than that. Without
+/// a find the member only loses its head start in the next election. Not measured.
+const MOST_SEARCHED: usize = 4_096;
+
 /// The last announced order on a subject.
 #[derive(Clone, Debug)]
 struct Last {
     holder: String,
-    applied_at: u64,
+    applied_at: Millis,
 }
 
 /// Orders announced in the log.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OrderLog {
-    /// Nothing is known of what happened before this time; none: all is known.
-    unknown_before: Option<u64>,
+    /// Announcements before this time may be missing; none: all are known.
+    unknown_before: Option<Millis>,
     /// A replica's subject is its id: an order may reach its next life.
     last: HashMap<String, Last>,
 }
@@ -35,14 +41,15 @@
 
     /// For a log that begins with a snapshot or jumps to one: announcements may
     /// have been passed over.
-    pub fn unknown(now: u64) -> Self {
+    pub fn unknown(now: Millis) -> Self {
         Self {
             unknown_before: Some(now),
             last: HashMap::new(),
         }
     }
 
-    pub fn intended(&mut self, subject: &str, holder: &str, now: u64) {
+    /// An announcement was applied.
+    pub fn intended(&mut self, subject: &str, holder: &str, now: Millis) {
         let last = Last {
             holder: holder.to_string(),
             applied_at: now,
@@ -50,8 +57,9 @@
         self.last.insert(subject.to_string(), last);
     }
 
-    /// Until when this holder must leave subjects alone.
-    pub fn leases(&self, holder: &str, lease_ms: u64) -> OrderLeases {
+    /// Until when this holder gives no orders on subjects of others, for leases of `lease_ms`
+    /// after an announcement.
+    pub fn leases(&self, holder: &str, lease_ms: Millis) -> OrderLeases {
         let others = self.last.iter().filter(|(_, last)| last.holder != holder);
         let until = others.map(|(id, last)| (id.clone(), last.applied_at + lease_ms));
         OrderLeases {
@@ -61,10 +69,8 @@
     }
 }
 
-/// Entries looked through for the last holder, at the most.
-const MOST_SEARCHED: usize = 4_096;
-
-/// Who announced the last order in entries of the log.
+/// Who announced the last order in entries of the log; none: no announcement is among the newest.
+/// Entries that cannot be decoded are skipped here; applying them stops the process.
 pub(super) fn last_holder(entries: &[Entry]) -> Option<String> {
     let newest = entries.iter().rev().take(MOST_SEARCHED);
     let mut commands = newest.filter_map(|entry| match &entry.payload {
--- a/crates/cluster/src/storage/ordering.rs
+++ b/crates/cluster/src/storage/ordering.rs
@@ -1,14 +1,20 @@
-//! Orders to replicas: asked for, announced in the log, given.
+//! Orders of the leader: announced in the log, given once a quorum keeps the announcement, and
+//! reported to whoever decided them.
+//!
+//! Owns no state but the announced orders of [`super::leading::Leading`]. When an order may be
+//! given is decided in [`super::leader_rules`]. An order that may not be given is answered as
+//! not sent, so that its decider tries again.
 
+use super::leader_rules::{is_announcement_fresh, may_give_order};
 use super::process::{Local, Storage};
 use crate::platform::{VersionOrder, WireFormat};
 use crate::upstream::{Pool, UpstreamError};
 use brasspond_autoscaling::ScaleOrder;
-use brasspond_consensus::READ_LEASE;
 use brasspond_dispatch::{Event, OrderAnswer};
 use brasspond_fleet::Identity;
 use brasspond_jobs::Command;
 use brasspond_metering::{Counts, WindowNumber};
+use brasspond_units::Millis;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Method, Request};
@@ -16,10 +22,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time for a replica to answer a report or an order.
-const REPLICA_ANSWER: Duration = Duration::from_millis(400);
-/// An order announced longer ago than this is not given any more, in ms.
-const ANNOUNCED_FOR: u64 = 400;
+/// Time for a replica to answer a question for its report or an order. Not measured
+/// (docs/design/0023-time-of-calls-and-peaks.md: round trips measured would set it).
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Subject of usage reports in the log; no replica has such a name.
 pub(super) const USAGE_SUBJECT: &str = "/usage";
@@ -35,10 +40,10 @@
 }
 
 impl Announced {
-    /// What one holder at a time gives orders on.
+    /// What one holder at a time gives orders on; names the announcement in the log.
     fn subject(&self) -> &str {
         match self {
-            // Of the id: an order may reach the next life.
+            // The id without the life: an order may reach the next life.
             Self::Version(order) => &order.replica.id,
             Self::Usage(..) => USAGE_SUBJECT,
             Self::Replicas(_, subject) => subject,
@@ -47,6 +52,7 @@
 }
 
 impl Storage {
+    /// Asks a replica which version it serves; the dispatcher gets the answer, or none.
     pub(super) fn ask_report(&mut self, replica: String, address: SocketAddr) {
         let wire = Rc::clone(&self.platform.wire);
         let pool = self.pool.clone();
@@ -60,10 +66,14 @@
                 .header(&wire.names().required_replica, &replica)
                 .body(Full::new(Bytes::new()));
             let report = match request {
-                // An answer too many on a kept connection is an older report, which only
-                // has the replica asked again.
-                Ok(request) => pool.call(address, request, REPLICA_ANSWER).await.ok(),
-                Err(_) => None,
+                // On a kept connection an answer too many may be taken for this one: it is an
+                // older report, which only has the replica asked again. No answer is no error
+                // here: the dispatcher counts it and asks again.
+                Ok(request) => pool.call(address, request, REPLICA_TIMEOUT).await.ok(),
+                Err(error) => {
+                    log_bad_request(&replica, &error);
+                    None
+                }
             };
             let report = report
                 .filter(|(status, _, _)| status.is_success())
@@ -73,8 +83,8 @@
         });
     }
 
-    /// Connections that rest to a replica that started again are of the life before: each would
-    /// cost a question its time-out where the break was not seen.
+    /// A replica started again: kept connections to it are of the life before, and each would
+    /// cost a question its timeout where the break was not seen.
     pub(super) fn replica_reborn(&mut self, replica: &Identity, address: SocketAddr) {
         log::info!(
             "event=replica_reborn replica={} life={} seen_by=leader",
@@ -88,43 +98,40 @@
     /// Announces an order in the log; it is given once a quorum knows of it.
     pub(super) fn announce(&mut self, order: Announced) {
         let now = self.clock.now();
-        let command = Command::Intend {
+        let index = self.propose(&Command::Intend {
             subject: order.subject().to_string(),
             holder: self.own.machine.clone(),
-        };
-        let index = command
-            .encode()
-            .ok()
-            .and_then(|bytes| self.consensus.propose(bytes));
+        });
         if let (Some(index), Some(leading)) = (index, &mut self.leading) {
             leading.announced.insert(index, (order, now));
         }
     }
 
+    /// The announcement at an index of the log is committed: gives its order if it is one of
+    /// this leader's.
     pub(super) fn intent_applied(&mut self, index: u64) {
-        let announced = self
-            .leading
-            .as_mut()
-            .and_then(|one| one.announced.remove(&index));
-        let Some((order, since)) = announced else {
+        let leading = self.leading.as_mut();
+        let announced = leading.and_then(|leading| leading.announced.remove(&index));
+        let Some((order, announced_at)) = announced else {
             return;
         };
-        let may_give = self.may_give(since);
+        let now = self.clock.now();
+        let may_give = may_give_order(self.is_confirmed_leader(now), announced_at, now);
         match order {
             Announced::Version(order) => {
-                let takes_work = self.takes_orders(&order.replica);
-                self.give_order(order, may_give && takes_work, since);
+                let may_give = may_give && self.takes_orders(&order.replica);
+                self.give_order(order, may_give, announced_at);
             }
             Announced::Usage(window, counts) => self.send_usage(window, counts, may_give),
             Announced::Replicas(order, _) => {
-                let is_out = self.view.is_evacuated(&order.zone);
-                self.order_replicas(order, may_give && !is_out);
+                let is_evacuated = self.view.is_evacuated(&order.zone);
+                self.order_replicas(order, may_give && !is_evacuated);
             }
         }
     }
 
-    /// Whether a replica is still to load: its zone may have been evacuated, or it may have
-    /// started again, since the order was announced.
+    /// Whether a replica may still be ordered: since the announcement its zone may have been
+    /// evacuated, or it may have started again. Not while evacuations are unknown.
     fn takes_orders(&self, replica: &Identity) -> bool {
         let known = self.view.replicas.get(&*replica.id);
         let leading = self.leading.as_ref();
@@ -133,24 +140,19 @@
             && known.is_some_and(|known| self.view.takes_work(known))
     }
 
-    /// Whether this process surely leads at this moment and announced an order just now.
-    fn may_give(&self, announced_at: u64) -> bool {
-        let now = self.clock.now();
-        self.consensus.has_quorum_contact(READ_LEASE, now) && now < announced_at + ANNOUNCED_FOR
-    }
-
-    /// Sends an order, if this process surely leads; it was announced at a moment in ms.
-    fn give_order(&mut self, order: VersionOrder, is_confirmed_leader: bool, announced_at: u64) {
+    /// Sends an order that was announced at `announced_at`, if it may be given; the dispatcher
+    /// gets the answer.
+    fn give_order(&mut self, order: VersionOrder, may_give: bool, announced_at: Millis) {
         let wire = Rc::clone(&self.platform.wire);
         let pool = self.pool.clone();
         let local = self.local.clone();
         let term = self.consensus.term();
         let clock = self.clock;
-        // Another holder waits for the lease of what the log holds, no longer: an order that
-        // leaves later than its announcement allows may follow another's.
-        let is_fresh = move || clock.now() < announced_at + ANNOUNCED_FOR;
+        // Asked once more after the connection is there: another holder waits for the lease
+        // that counts from the announcement, and an order sent later may follow its own.
+        let is_fresh = move || is_announcement_fresh(announced_at, clock.now());
         log::info!(
-            "event=order_given replica={} model={} version={} fence={} expected_orders={} sent={is_confirmed_leader}",
+            "event=order_given replica={} model={} version={} fence={} expected_count={} sent={may_give}",
             order.replica.id,
             order.model,
             order.version,
@@ -158,7 +160,7 @@
             order.expected_orders
         );
         tokio::task::spawn_local(async move {
-            let answer = if is_confirmed_leader {
+            let answer = if may_give {
                 send_order(&pool, &*wire, &order, is_fresh).await
             } else {
                 OrderAnswer::NotSent
@@ -170,7 +172,8 @@
     }
 }
 
-/// Sends an order on a connection of its own: whether it was done must be known.
+/// Sends an order on a new connection: an answer too many on a kept one would be taken for this
+/// order's.
 async fn send_order(
     pool: &Pool,
     wire: &dyn WireFormat,
@@ -185,13 +188,22 @@
         .header(hyper::header::CONTENT_TYPE, "application/json")
         .header(&wire.names().required_replica, &*order.replica.id)
         .body(Full::new(body));
-    let Ok(request) = request else {
-        return OrderAnswer::NotSent;
+    let request = match request {
+        Ok(request) => request,
+        Err(error) => {
+            log_bad_request(&order.replica.id, &error);
+            return OrderAnswer::NotSent;
+        }
     };
-    let call = pool.call_anew_if(is_fresh, order.address, request, REPLICA_ANSWER);
+    let call = pool.call_anew_if(is_fresh, order.address, request, REPLICA_TIMEOUT);
     match call.await {
         Ok((status, _, _)) => wire.order_answer(status),
         Err(UpstreamError::NotSent) => OrderAnswer::NotSent,
         Err(UpstreamError::Broken) => OrderAnswer::Unknown,
     }
 }
+
+/// A request to a replica cannot be made: its id cannot stand in a header.
+fn log_bad_request(replica: &str, error: &hyper::http::Error) {
+    log::error!("event=replica_request_invalid replica={replica} error=\"{error}\"");
+}
--- a/crates/cluster/src/storage/process.rs
+++ b/crates/cluster/src/storage/process.rs
@@ -1,10 +1,10 @@
 //! The event loop of a storage process.
 
-use super::asks::Asks;
 use super::group::Group;
 use super::leading::Leading;
 use super::load::LoopLoad;
 use super::order_log::{OrderLog, last_holder};
+use super::questions::Questions;
 use super::search::RecordSearch;
 use super::texts::EndedJobs;
 use crate::clock::{Clock, Moment};
@@ -70,7 +70,7 @@
 
 impl std::error::Error for ProcessError {}
 
-/// Something that a task of this process found out.
+/// What a task of this process found out.
 pub(super) enum Local {
     /// For the dispatcher of this term.
     Dispatch(u64, Event),
@@ -108,14 +108,22 @@
     pub writer: Writer,
     pub peer: Option<Peer>,
     pub heard_at: u64,
-    /// It was told that this process leads.
-    pub told_term: u64,
+    /// Newest term in which it was sent that this process leads; 0: never, or the members changed
+    /// since.
+    pub announced_term: u64,
     /// It holds the view that was last sent to all.
     pub has_view: bool,
-    /// It was told of all contents under which replicas ended.
+    /// It was sent all contents under which replicas ended.
     pub has_quarantine: bool,
 }
 
+impl LinkState {
+    /// Whether an edge is at its other end.
+    pub fn is_edge(&self) -> bool {
+        matches!(self.peer, Some(Peer::Edge { .. }))
+    }
+}
+
 /// All of a storage process.
 pub(super) struct Storage {
     pub settings: StorageSettings,
@@ -129,12 +137,12 @@
     pub source_answers: bool,
     pub links: HashMap<LinkId, LinkState>,
     pub group: Group,
-    pub asks: Asks,
+    pub questions: Questions,
     pub leading: Option<Leading>,
-    /// Some edge was not told who leads, or holds no view.
-    pub has_untold_edges: bool,
-    /// Some edge was not told of all contents under which replicas ended.
-    pub lacks_quarantine: bool,
+    /// Some edge was not sent who leads, or holds no view.
+    pub edges_lack_view: bool,
+    /// Some edge was not sent all contents under which replicas ended.
+    pub edges_lack_quarantine: bool,
     pub order_log: OrderLog,
     /// Connections to replicas at rest.
     pub pool: Pool,
@@ -283,10 +291,10 @@
             source_answers: true,
             links: HashMap::new(),
             group: Group::new(search),
-            asks: Asks::default(),
+            questions: Questions::default(),
             leading: None,
-            has_untold_edges: false,
-            lacks_quarantine: false,
+            edges_lack_view: false,
+            edges_lack_quarantine: false,
             order_log,
             pool: Pool::default(),
             text_files,
@@ -324,7 +332,7 @@
         if self.consensus.has_backlog() {
             return now;
         }
-        let due = self.asks.next_due().unwrap_or(u64::MAX);
+        let due = self.questions.next_due().unwrap_or(u64::MAX);
         let opening = self.next_opening().unwrap_or(u64::MAX);
         let due = due.min(opening);
         self.consensus.next_tick().min(now + tick).min(due)
@@ -343,7 +351,7 @@
                     writer,
                     peer: None,
                     heard_at: now,
-                    told_term: 0,
+                    announced_term: 0,
                     has_view: false,
                     has_quarantine: false,
                 };
@@ -373,7 +381,7 @@
             Message::NeedView => {
                 if let Some(state) = self.links.get_mut(&link) {
                     state.has_view = false;
-                    self.has_untold_edges = true;
+                    self.edges_lack_view = true;
                 }
             }
             Message::Ask { number, question } => self.on_question(link, number, question),
@@ -479,7 +487,7 @@
                 break;
             }
         }
-        self.spread_quarantine();
+        self.send_quarantine();
         if self.has_new_remembered && !self.consensus.has_backlog() {
             self.take_remembered();
         }
--- a/crates/cluster/src/storage/quarantine.rs
+++ b/crates/cluster/src/storage/quarantine.rs
@@ -1,8 +1,10 @@
 //! Contents under which replicas ended, at the leader: what counts goes into the log, what
-//! the log holds is told to edges.
+//! the log holds is sent to edges.
+//!
+//! Relies on the keeper for decisions (`crates/quarantine`) and on the table for the ledger.
 
 use super::process::Storage;
-use brasspond_cluster_protocol::{Kind, Message, Peer, encode};
+use brasspond_cluster_protocol::{Kind, Message, encode};
 use brasspond_jobs::Command;
 use brasspond_quarantine::{Case, CasesUpdate, Change, EndReport, Fingerprint, Ledger};
 
@@ -36,8 +38,8 @@
         self.change_quarantine(change.into_iter().collect());
     }
 
-    /// Lets time pass.
-    pub(super) fn tend_quarantine(&mut self, now: u64) {
+    /// Lets the keeper release contents whose time is over.
+    pub(super) fn tick_quarantine(&mut self, now: u64) {
         let Some(leading) = &mut self.leading else {
             return;
         };
@@ -51,7 +53,7 @@
         }
     }
 
-    /// The log changed what is known of contents.
+    /// The log applied changes of these contents.
     pub(super) fn quarantine_changed(&mut self, contents: Vec<Fingerprint>) {
         let Some(leading) = &mut self.leading else {
             return;
@@ -63,21 +65,21 @@
                 case.map_or(0, Case::ends),
                 case.is_some_and(Case::is_quarantined)
             );
-            leading.untold_contents.insert(content);
+            leading.unsent_contents.insert(content);
         }
     }
 
-    /// Tells edges what changed, and all to those that were told nothing yet. Goes out as
-    /// soon as the log has it: each further try costs a replica.
-    pub(super) fn spread_quarantine(&mut self) {
+    /// Sends edges what changed, and all cases to those that were sent none yet. Goes out as
+    /// soon as the log has it: each further run of such a content costs a replica.
+    pub(super) fn send_quarantine(&mut self) {
         let Some(leading) = &mut self.leading else {
             return;
         };
-        if leading.untold_contents.is_empty() && !self.lacks_quarantine {
+        if leading.unsent_contents.is_empty() && !self.edges_lack_quarantine {
             return;
         }
         let ledger = self.table.quarantine();
-        let changed = std::mem::take(&mut leading.untold_contents);
+        let changed = std::mem::take(&mut leading.unsent_contents);
         let changed = changed_cases(changed, ledger);
         let has_changes = !changed.is_empty();
         let changed = encode(&Message::Quarantine(CasesUpdate {
@@ -85,10 +87,9 @@
             cases: changed,
         }));
         let whole = encode(&Message::Quarantine(whole_list(ledger)));
-        let mut is_lacking = false;
+        let mut some_lack_it = false;
         for state in self.links.values_mut() {
-            let is_edge = matches!(state.peer, Some(Peer::Edge { .. }));
-            if !is_edge || state.told_term != leading.term {
+            if !state.is_edge() || state.announced_term != leading.term {
                 continue;
             }
             if !state.has_quarantine {
@@ -96,13 +97,13 @@
             } else if has_changes {
                 state.has_quarantine = state.writer.send_frame(Kind::Other, changed.clone());
             }
-            is_lacking |= !state.has_quarantine;
+            some_lack_it |= !state.has_quarantine;
         }
-        self.lacks_quarantine = is_lacking;
+        self.edges_lack_quarantine = some_lack_it;
     }
 }
 
-/// Cases that edges are told of: bystanders of a single end say nothing to them.
+/// Changed cases without those of a single end: edges act on watched cases alone.
 fn changed_cases(
     contents: impl IntoIterator<Item = Fingerprint>,
     ledger: &Ledger,
@@ -116,6 +117,7 @@
         .collect()
 }
 
+/// All cases that edges act on.
 fn whole_list(ledger: &Ledger) -> CasesUpdate {
     let watched = ledger.cases().filter(|(_, case)| case.is_watched());
     CasesUpdate {
--- a/crates/cluster/src/storage/scaling.rs
+++ b/crates/cluster/src/storage/scaling.rs
@@ -1,12 +1,16 @@
 //! Orders of replicas at the leader: what the autoscaler decides is announced and sent.
+//!
+//! Owns no state. An order goes to the platform, one holder at a time for each service and zone.
 
 use super::ordering::Announced;
 use super::process::{Local, Storage};
 use crate::platform::{Holder, OperationsAnswer};
 use brasspond_autoscaling::{ScaleAnswer, ScaleOrder};
+use brasspond_units::Millis;
 
-/// Pause between two looks at how many replicas there are to be, in ms.
-const PLAN_PAUSE: u64 = 500;
+/// Pause between two plans of how many replicas there are to be: short beside the seconds that a
+/// replica needs to start. Not measured.
+const PLAN_PAUSE: Millis = 500;
 
 /// Subject of orders in the log; no replica has such a name.
 fn subject(order: &ScaleOrder) -> String {
@@ -14,25 +18,26 @@
 }
 
 impl Storage {
-    /// Lets the autoscaler decide what is due.
-    pub(super) fn tend_replicas(&mut self, now: u64) {
+    /// Lets the autoscaler plan. While another holder's lease runs, an order counts as to be
+    /// tried again.
+    pub(super) fn plan_replicas(&mut self, now: Millis) {
         if self.platform.operations.is_none() || !self.settings.scales {
             return;
         }
         let Some(leading) = &mut self.leading else {
             return;
         };
-        if now < leading.scaled_at + PLAN_PAUSE {
+        if now < leading.planned_at + PLAN_PAUSE {
             return;
         }
-        leading.scaled_at = now;
+        leading.planned_at = now;
         let requests = leading.dispatcher.requests_by_service();
         let configuration = self.view.configuration.iter();
         for service in configuration.flat_map(|one| &one.services) {
             if service.scaling.is_some() {
-                // A service that rests is none of them.
-                let there = requests.get(&service.name).copied().unwrap_or(0);
-                leading.autoscaler.note_load(&service.name, there, now);
+                // Services without requests are not in the map.
+                let load = requests.get(&service.name).copied().unwrap_or(0);
+                leading.autoscaler.note_load(&service.name, load, now);
             }
         }
         let mut due = Vec::new();
@@ -49,7 +54,7 @@
         }
     }
 
-    /// Orders replicas, if this process surely leads.
+    /// Orders replicas, if this process is the confirmed leader and the announcement is fresh.
     pub(super) fn order_replicas(&mut self, order: ScaleOrder, is_confirmed_leader: bool) {
         let term = self.consensus.term();
         let begun = self.clock.now();
@@ -83,7 +88,7 @@
         });
     }
 
-    /// The platform answered, or did not.
+    /// The platform answered an order of replicas; one without an answer is planned again.
     pub(super) fn replicas_ordered(&mut self, order: &ScaleOrder, answer: OperationsAnswer) {
         let now = self.clock.now();
         let answer = match answer {
--- a/crates/cluster/src/storage/usage.rs
+++ b/crates/cluster/src/storage/usage.rs
@@ -1,5 +1,7 @@
 //! Usage of tenants at the leader: what metering decides is put into the log, announced
 //! and sent.
+//!
+//! Owns no state. A report is an order: one holder at a time gives it, fenced by its term.
 
 use super::ordering::{Announced, USAGE_SUBJECT};
 use super::process::{Local, Storage};
@@ -8,8 +10,9 @@
 use brasspond_metering::{Counts, MeterAction, SendAnswer, WindowNumber};
 
 impl Storage {
-    /// Lets metering decide what is due.
-    pub(super) fn tend_usage(&mut self, now: u64) {
+    /// Lets metering decide what is due. While another holder's lease runs, a report counts as
+    /// refused and is tried again.
+    pub(super) fn tick_usage(&mut self, now: u64) {
         let wall = self.clock.wall();
         let Some(leading) = &mut self.leading else {
             return;
@@ -22,7 +25,9 @@
         let is_leased = leading.leases.is_leased(USAGE_SUBJECT, now);
         for action in metering.tick(time, self.table.usage(), now) {
             match action {
-                MeterAction::Propose(command) => self.propose(&Command::Usage(command)),
+                MeterAction::Propose(command) => {
+                    self.propose(&Command::Usage(command));
+                }
                 MeterAction::Send(window, _) if is_leased => {
                     self.usage_sent(window, OperationsAnswer::Refused, now);
                 }
@@ -33,7 +38,7 @@
         }
     }
 
-    /// Sends the report of a window, if this process surely leads.
+    /// Sends the report of a window, if this process is the confirmed leader and the announcement is fresh.
     pub(super) fn send_usage(
         &mut self,
         window: WindowNumber,
@@ -68,7 +73,8 @@
         });
     }
 
-    /// The platform answered, or did not.
+    /// The platform answered the report of a window; a call without an answer is uncertain and
+    /// is sent again, which its fence and window number make safe.
     pub(super) fn usage_sent(&mut self, window: WindowNumber, answer: OperationsAnswer, now: u64) {
         let answer = match answer {
             OperationsAnswer::Done => SendAnswer::Taken,
--- /dev/null
+++ b/crates/cluster/tests/leader_rules.rs
@@ -0,0 +1,110 @@
+//! Rules of a leader at their bounds.
+
+use brasspond_cluster::storage::leader_rules::{
+    ViewState, is_announcement_fresh, is_edge_lost, is_edge_silent, may_give_order,
+    wait_for_other_holder, watching_edges, work_lease, work_lease_end,
+};
+use rstest::rstest;
+
+#[rstest]
+#[case::just_heard(Some(5_000), 5_000, false)]
+#[case::three_signs_missed(Some(5_000), 6_599, false)]
+#[case::too_long(Some(5_000), 6_600, true)]
+#[case::its_link_is_gone(None, 5_000, true)]
+#[case::its_link_is_gone_at_the_start(None, 1_599, false)]
+fn an_edge_is_silent_after_1600_ms(
+    #[case] heard_at: Option<u64>,
+    #[case] now: u64,
+    #[case] is_silent: bool,
+) {
+    assert_eq!(is_edge_silent(heard_at, now), is_silent);
+}
+
+#[rstest]
+#[case::may_reconnect(5_399, false)]
+#[case::too_late(5_400, true)]
+fn an_edge_is_lost_400_ms_after_its_link(#[case] now: u64, #[case] is_lost: bool) {
+    assert_eq!(is_edge_lost(5_000, now), is_lost);
+}
+
+#[rstest]
+#[case::half(3_000, 1_500)]
+#[case::two_announcements_at_the_least(1_000, 1_000)]
+fn a_work_lease_leaves_time_for_bytes_on_their_way(#[case] cancel_ms: u64, #[case] lease: u64) {
+    assert_eq!(work_lease(cancel_ms), lease);
+}
+
+#[rstest]
+#[case::confirmed(Some(7_000), true, Some(8_500))]
+#[case::not_confirmed(Some(7_000), false, None)]
+#[case::clock_unknown(None, true, None)]
+fn only_a_confirmed_leader_that_knows_an_edges_clock_gives_a_work_lease(
+    #[case] clock: Option<u64>,
+    #[case] is_confirmed: bool,
+    #[case] end: Option<u64>,
+) {
+    assert_eq!(work_lease_end(clock, is_confirmed, 3_000), end);
+}
+
+#[rstest]
+#[case::fresh(true, 1_399, true)]
+#[case::old(true, 1_400, false)]
+#[case::not_confirmed(false, 1_000, false)]
+fn an_order_is_given_shortly_after_its_announcement_alone(
+    #[case] is_confirmed: bool,
+    #[case] now: u64,
+    #[case] may_give: bool,
+) {
+    assert_eq!(may_give_order(is_confirmed, 1_000, now), may_give);
+}
+
+/// An order that leaves as late as it may is still within the wait of other holders.
+#[rstest]
+fn other_holders_wait_longer_than_an_announcement_is_fresh() {
+    let lease = 3_000;
+    let margin = wait_for_other_holder(lease) - lease;
+    assert!(!is_announcement_fresh(0, margin));
+}
+
+fn sent(is_changed: bool, is_urgent: bool, must_repeat: bool) -> ViewState {
+    ViewState {
+        is_changed,
+        compared_at: 1_000,
+        sent_at: 1_000,
+        is_urgent,
+        must_repeat,
+    }
+}
+
+#[rstest]
+#[case::nothing_new(sent(false, true, true), 9_000, false)]
+#[case::too_soon(sent(true, false, false), 1_099, false)]
+#[case::after_the_pause(sent(true, false, false), 1_100, true)]
+#[case::urgent(sent(true, true, false), 1_001, true)]
+#[case::a_repetition_waits_for_the_pause(sent(true, false, true), 1_099, false)]
+fn a_changed_view_is_compared_after_a_pause(
+    #[case] state: ViewState,
+    #[case] now: u64,
+    #[case] is_due: bool,
+) {
+    assert_eq!(state.is_comparison_due(now), is_due);
+}
+
+#[rstest]
+#[case::too_soon(sent(true, false, false), 2_999, false)]
+#[case::after_the_pause(sent(true, false, false), 3_000, true)]
+#[case::urgent(sent(true, true, false), 1_001, true)]
+#[case::repeated(sent(true, false, true), 1_001, true)]
+fn a_change_on_which_no_edge_acts_waits_longer(
+    #[case] state: ViewState,
+    #[case] now: u64,
+    #[case] is_due: bool,
+) {
+    assert_eq!(state.is_inactive_change_due(now), is_due);
+}
+
+#[rstest]
+fn more_edges_watch_while_the_source_does_not_answer_the_leader() {
+    assert_eq!(watching_edges(true), 3);
+    assert_eq!(watching_edges(false), 16);
+}
--- a/crates/cluster/tests/gathering.rs
+++ b/crates/cluster/tests/long_poll.rs
@@ -1,25 +1,26 @@
-//! When held reads are answered.
+//! When long polls of results are answered.
 
-use brasspond_cluster::storage::gathering::{Gathering, Progress};
+use brasspond_cluster::storage::long_poll::{LongPoll, Progress};
 use brasspond_jobs::StepState;
 use rstest::rstest;
 
-/// Plays results that come at these times; gives when the read is answered and how
-/// many it brings.
+/// Plays results that come at these times; gives when the poll is answered and how
+/// many results it brings.
 fn answered(asked_at: u64, wait: u64, results: &[u64], items: usize) -> (u64, usize) {
-    answered_step(asked_at, wait, results, items, 0, 0)
+    answered_step(asked_at, wait, results, items, 0, None)
 }
 
-/// The same where a trainer waits for `desired` results of a step that is due at `due`.
+/// The same where a trainer waits for `desired` results of a step that is due at `due`; none:
+/// not known.
 fn answered_step(
     asked_at: u64,
     wait: u64,
     results: &[u64],
     items: usize,
     desired: usize,
-    due: u64,
+    due: Option<u64>,
 ) -> (u64, usize) {
-    let mut gathering = Gathering::new(asked_at, asked_at + wait, due);
+    let mut poll = LongPoll::new(asked_at, asked_at + wait, due);
     for now in asked_at.. {
         let there = results.iter().filter(|at| **at <= now).count();
         let progress = Progress {
@@ -31,12 +32,12 @@
                 _ => StepState::Ready,
             },
         };
-        gathering.note(progress, now);
-        if now >= gathering.due_at() {
+        poll.observe(progress, now);
+        if now >= poll.due_at() {
             return (now, there);
         }
     }
-    unreachable!("every read is answered")
+    unreachable!("every poll is answered")
 }
 
 #[rstest]
@@ -58,7 +59,7 @@
 #[case::the_last_result(1_000, &[300, 310], 2, (310, 2))]
 #[case::no_hold(0, &[0], 5, (0, 1))]
 #[case::no_hold_and_nothing(0, &[], 5, (0, 0))]
-fn a_read_is_answered_at_once(
+fn a_poll_is_answered_at_once_when_nothing_more_can_come(
     #[case] wait: u64,
     #[case] results: &[u64],
     #[case] items: usize,
@@ -67,9 +68,8 @@
     assert_eq!(answered(0, wait, results, items), answer);
 }
 
-/// A trainer goes on with the last group that it waits for: a read answered before has
-/// it come back later (llyfr-rollout-now-grown quiet-1: steps ended 0.5 s after their last
-/// text).
+/// A trainer goes on with the last group that it waits for: a poll answered before has
+/// it come back later, and its step ended 0.5 s after its last text.
 #[rstest]
 #[case::the_last_one_comes(0, &[100, 300, 700], 3, 7_500, (700, 3))]
 #[case::it_does_not_come(0, &[100, 300], 3, 7_500, (1_000, 2))]
@@ -77,7 +77,7 @@
 #[case::the_step_is_due(6_800, &[7_100, 7_300], 3, 7_500, (7_620, 2))]
 #[case::it_was_due_before(8_000, &[8_100], 3, 7_500, (8_620, 1))]
 #[case::it_ends_after_it_was_due(8_000, &[8_100, 8_200, 8_400], 3, 7_500, (8_400, 3))]
-fn a_read_waits_for_its_step(
+fn a_poll_waits_for_the_groups_of_its_step(
     #[case] asked_at: u64,
     #[case] results: &[u64],
     #[case] desired: usize,
@@ -85,7 +85,19 @@
     #[case] answer: (u64, usize),
 ) {
     assert_eq!(
-        answered_step(asked_at, 1_000, results, 100, desired, due),
+        answered_step(asked_at, 1_000, results, 100, desired, Some(due)),
         answer
     );
 }
+
+/// Where the time at which the step is due is not known, a poll waits for it as long as its
+/// reader would stay away.
+#[rstest]
+#[case::the_last_one_comes(&[100, 300, 400], (400, 3))]
+#[case::it_does_not_come(&[100, 300], (620, 2))]
+fn a_poll_of_a_step_without_a_known_time_waits_one_read_period(
+    #[case] results: &[u64],
+    #[case] answer: (u64, usize),
+) {
+    assert_eq!(answered_step(0, 1_000, results, 100, 3, None), answer);
+}
