--- a/crates/cluster/src/storage/announcing.rs
+++ b/crates/cluster/src/storage/announcing.rs
@@ -4,7 +4,7 @@
 
 use super::leader_rules::{LEADER_PAUSE, ViewState, watching_edges};
 use super::process::Storage;
-use crate::link::{LinkId, shared_frame};
+use crate::link::shared_frame;
 use brasspond_cluster_protocol::{Kind, Message, Watch};
 use brasspond_consensus::Member;
 use brasspond_dispatch::Event;
@@ -86,7 +86,7 @@
             return;
         };
         let is_due = now >= leading.announcements.leader_sent_at + LEADER_PAUSE;
-        if !is_due && !self.edges_lack_view {
+        if !is_due && !self.links.edges_lack_view {
             return;
         }
         if is_due {
@@ -104,8 +104,8 @@
         let others = shared_frame(&self.leader_announcement(term, Watch::Nothing, time));
         let watching_edges = watching_edges(self.source_answers);
         let mut sent = Vec::new();
-        for (number, link) in self.edge_links().into_iter().enumerate() {
-            let Some(state) = self.links.get_mut(&link) else {
+        for (number, link) in self.links.edges().into_iter().enumerate() {
+            let Some(state) = self.links.get_mut(link) else {
                 continue;
             };
             let is_new = state.announced_term != term;
@@ -120,7 +120,7 @@
                 state.announced_term = term;
                 state.has_view = false;
                 state.has_quarantine = false;
-                self.edges_lack_quarantine = true;
+                self.links.edges_lack_quarantine = true;
             }
         }
         for link in sent {
@@ -136,19 +136,11 @@
             standbys,
             watch,
             time,
-            is_busy: self.load.is_busy(),
+            is_busy: self.monitor.load.is_busy(),
             closed_window: self.table.usage().closed_through(),
         }
     }
 
-    /// Links of edges, the oldest first.
-    fn edge_links(&self) -> Vec<LinkId> {
-        let edges = self.links.iter().filter(|(_, state)| state.is_edge());
-        let mut links: Vec<LinkId> = edges.map(|(link, _)| *link).collect();
-        links.sort_unstable();
-        links
-    }
-
     /// Sends edges what changed in the view, and a whole view to those that hold none.
     pub(super) fn send_view(&mut self, now: Millis) {
         let Some(leading) = &mut self.leading else {
@@ -156,15 +148,12 @@
         };
         let announcements = &mut leading.announcements;
         let is_comparison_due = announcements.state.is_comparison_due(now);
-        if !is_comparison_due && !self.edges_lack_view {
+        if !is_comparison_due && !self.links.edges_lack_view {
             return;
         }
         let change = announcements.next_change(&self.view, now);
         let mut edges_lack_view = false;
-        for state in self.links.values_mut() {
-            if !state.is_edge() || state.announced_term != leading.term {
-                continue;
-            }
+        for state in self.links.announced_edges(leading.term) {
             let (kind, frame) = if state.has_view {
                 (Kind::ViewChanged, change.clone())
             } else {
@@ -175,7 +164,7 @@
             }
             edges_lack_view |= !state.has_view;
         }
-        self.edges_lack_view = edges_lack_view;
+        self.links.edges_lack_view = edges_lack_view;
     }
 
     /// An edge knows something that this leader does not.
--- a/crates/cluster/src/storage/applying.rs
+++ b/crates/cluster/src/storage/applying.rs
@@ -61,7 +61,7 @@
             Effect::Ended(job) => {
                 log::info!("event=job_ended job={job}");
                 self.questions.job_ended(&job);
-                self.ended_jobs.push(job.clone());
+                self.texts.job_ended(job.clone());
                 self.dispatch(Event::JobEnded(job));
             }
             Effect::Forgotten(jobs) => {
@@ -71,7 +71,7 @@
                 }
             }
             // Decoding a view takes long: only the newest is decoded, once all is applied.
-            Effect::Remembered => self.has_new_remembered = true,
+            Effect::Remembered => self.has_newer_copy = true,
             Effect::Quarantined(contents) => self.quarantine_changed(contents),
             Effect::Nothing => {}
         }
@@ -80,7 +80,7 @@
     /// Merges the newest view that the log keeps into this process's. One that cannot be decoded
     /// is logged and left out: the view's source has a newer one.
     pub(super) fn take_remembered(&mut self) {
-        self.has_new_remembered = false;
+        self.has_newer_copy = false;
         let Some((_, bytes)) = self.table.remembered() else {
             return;
         };
--- a/crates/cluster/src/storage/edges.rs
+++ b/crates/cluster/src/storage/edges.rs
@@ -167,7 +167,7 @@
     }
 
     fn edge_behind(&self, link: LinkId) -> Option<Sender> {
-        match self.links.get(&link)?.peer.clone()? {
+        match self.links.get(link)?.peer.clone()? {
             Peer::Edge {
                 machine,
                 zone,
@@ -278,7 +278,7 @@
             return;
         };
         let message = message(known.registration);
-        let state = self.links.get(&known.link);
+        let state = self.links.get(known.link);
         let reason = match state.map(|state| state.writer.send(&message)) {
             Some(true) => return,
             Some(false) => "queue_full",
@@ -295,7 +295,7 @@
     /// Sends the edge behind a link what this leader holds of it, with its work lease.
     pub(super) fn send_registration(&self, link: LinkId, now: Millis) {
         let registration = self.registration(link, now);
-        if let Some(state) = self.links.get(&link) {
+        if let Some(state) = self.links.get(link) {
             state.writer.send(&Message::Registered(registration));
         }
     }
@@ -303,7 +303,7 @@
     /// What this leader holds of the edge behind a link; none: it does not know its runs.
     fn registration(&self, link: LinkId, now: Millis) -> Option<Registration> {
         let leading = self.leading.as_ref()?;
-        let Some(Peer::Edge { machine, .. }) = &self.links.get(&link)?.peer else {
+        let Some(Peer::Edge { machine, .. }) = &self.links.get(link)?.peer else {
             return None;
         };
         let number = leading.edges.registration_on(machine, link)?;
@@ -332,7 +332,7 @@
     /// Gives up edges that are silent, lost or unreached, so that their runs go on elsewhere.
     pub(super) fn give_up_edges(&mut self, now: Millis) {
         let links = &self.links;
-        let heard_at = |link| links.get(&link).map(|state| state.heard_at);
+        let heard_at = |link| links.get(link).map(|state| state.heard_at);
         let Some(leading) = &mut self.leading else {
             return;
         };
--- a/crates/cluster/src/storage/leader_rules.rs
+++ b/crates/cluster/src/storage/leader_rules.rs
@@ -138,11 +138,11 @@
     }
 }
 
-/// Time after its end for which a job stays known: `job_life_ms`, as long as callers may ask for
-/// it, and [`JOB_LIFE_MARGIN`].
+/// Time for which a finished job stays known after this leader first saw it: `job_life_ms`, for
+/// which callers may ask for it after its submission, and [`JOB_LIFE_MARGIN`].
 pub fn job_life(job_life_ms: Millis) -> Millis {
     job_life_ms + JOB_LIFE_MARGIN
 }
 
-/// Margin for callers that ask late. Not measured.
+/// Margin for callers that began to ask within the time. Not measured.
 const JOB_LIFE_MARGIN: Millis = 30_000;
--- a/crates/cluster/src/storage/leading.rs
+++ b/crates/cluster/src/storage/leading.rs
@@ -25,7 +25,7 @@
 
 /// Pause between two ticks of the leader, with which it checks edges, places and orders: a
 /// sixteenth of the silence after which an edge is given up. Not measured.
-const LEADER_TICK: Millis = 100;
+pub(super) const LEADER_TICK: Millis = 100;
 /// Pause between two log lines on what runs: one a second keeps a day readable.
 const STATE_LOG_PAUSE: Millis = 1_000;
 
@@ -94,7 +94,7 @@
     fn tick_leader(&mut self, now: Millis) {
         self.announce_to_outsiders(self.consensus.term(), now);
         self.reconcile_members(now);
-        self.reconcile_records(now);
+        self.reconcile_record(now);
         self.give_up_edges(now);
         self.dispatch(Event::Tick);
         self.tick_usage(now);
@@ -145,7 +145,7 @@
         );
         self.renew_evacuated();
         self.metrics.leadership();
-        self.edges_lack_view = true;
+        self.links.edges_lack_view = true;
         self.platform.interest.send_replace(Interest::ALL);
         self.leading = Some(self.new_leading(now));
         self.log_evacuated(now);
--- /dev/null
+++ b/crates/cluster/src/storage/links.rs
@@ -0,0 +1,184 @@
+//! Links of a storage process: what is known of each, and what becomes of their messages.
+//!
+//! Owns [`Links`]. The links themselves are tasks of [`crate::link`].
+
+use super::process::Storage;
+use crate::link::{LinkContext, LinkEvent, LinkId, Writer};
+use brasspond_cluster_protocol::{Message, Peer};
+use brasspond_consensus::MemberId;
+use brasspond_units::Millis;
+use std::collections::{BTreeSet, HashMap};
+use std::rc::Rc;
+use tokio::sync::mpsc;
+
+/// A link as this process knows it.
+pub(super) struct LinkState {
+    /// Writes to it.
+    pub writer: Writer,
+    /// Who is at its other end; none: it did not say yet.
+    pub peer: Option<Peer>,
+    /// When its last message came, or it came up.
+    pub heard_at: Millis,
+    /// Newest term in which it was sent that this process leads; 0: never, or the members
+    /// changed since.
+    pub announced_term: u64,
+    /// It holds the view that was last sent to all.
+    pub has_view: bool,
+    /// It was sent all contents under which replicas ended.
+    pub has_quarantine: bool,
+}
+
+impl LinkState {
+    fn new(writer: Writer, now: Millis) -> Self {
+        Self {
+            writer,
+            peer: None,
+            heard_at: now,
+            announced_term: 0,
+            has_view: false,
+            has_quarantine: false,
+        }
+    }
+
+    /// Whether an edge is at its other end.
+    pub fn is_edge(&self) -> bool {
+        matches!(self.peer, Some(Peer::Edge { .. }))
+    }
+
+    fn is_of_member(&self, id: MemberId) -> bool {
+        matches!(&self.peer, Some(Peer::Storage(member)) if member.id == id)
+    }
+}
+
+/// All links of a process.
+pub(super) struct Links {
+    states: HashMap<LinkId, LinkState>,
+    /// Some edge was not sent who leads, or holds no view.
+    pub edges_lack_view: bool,
+    /// Some edge was not sent all contents under which replicas ended.
+    pub edges_lack_quarantine: bool,
+    /// Where links report what happens on them.
+    pub events: mpsc::Sender<LinkEvent>,
+    /// What links share: distances, counts.
+    pub context: Rc<LinkContext>,
+}
+
+impl Links {
+    /// None yet; those to come report to `events`.
+    pub fn new(context: Rc<LinkContext>, events: mpsc::Sender<LinkEvent>) -> Self {
+        Self {
+            states: HashMap::new(),
+            edges_lack_view: false,
+            edges_lack_quarantine: false,
+            events,
+            context,
+        }
+    }
+
+    /// A link; none: it is down.
+    pub fn get(&self, link: LinkId) -> Option<&LinkState> {
+        self.states.get(&link)
+    }
+
+    /// The same, to be changed.
+    pub fn get_mut(&mut self, link: LinkId) -> Option<&mut LinkState> {
+        self.states.get_mut(&link)
+    }
+
+    /// Forgets a link that is down.
+    pub fn remove(&mut self, link: LinkId) -> Option<LinkState> {
+        self.states.remove(&link)
+    }
+
+    /// Links to edges that were sent that this process leads in a term.
+    pub fn announced_edges(&mut self, term: u64) -> impl Iterator<Item = &mut LinkState> {
+        let states = self.states.values_mut();
+        states.filter(move |state| state.is_edge() && state.announced_term == term)
+    }
+
+    /// Links to edges, the oldest first.
+    pub fn edges(&self) -> Vec<LinkId> {
+        let edges = self.states.iter().filter(|(_, state)| state.is_edge());
+        let mut links: Vec<LinkId> = edges.map(|(link, _)| *link).collect();
+        links.sort_unstable();
+        links
+    }
+
+    /// Zones of the edges that are connected.
+    pub fn edge_zones(&self) -> BTreeSet<String> {
+        let peers = self.states.values().filter_map(|state| state.peer.as_ref());
+        let zones = peers.filter_map(|peer| match peer {
+            Peer::Edge { zone, .. } => Some(zone.clone()),
+            Peer::Storage(_) => None,
+        });
+        zones.collect()
+    }
+
+    /// Some link to a member.
+    pub fn to_member(&self, id: MemberId) -> Option<LinkId> {
+        let mut links = self.states.iter();
+        let link = links.find(|(_, state)| state.is_of_member(id));
+        link.map(|(link, _)| *link)
+    }
+
+    fn is_to_storage(&self, link: LinkId) -> bool {
+        let state = self.get(link);
+        state.is_some_and(|state| matches!(state.peer, Some(Peer::Storage(_))))
+    }
+}
+
+impl Storage {
+    /// Something happened on a link.
+    pub(super) fn on_link(&mut self, event: LinkEvent) {
+        let now = self.clock.now();
+        match event {
+            LinkEvent::Up {
+                link, writer, peer, ..
+            } => self.on_link_up(link, writer, peer, now),
+            LinkEvent::Message { link, message } => self.on_message(link, message, now),
+            LinkEvent::Down { link, .. } => self.on_link_down(link, now),
+            LinkEvent::Refused { address } => self.on_refused(address, now),
+        }
+    }
+
+    /// A link is up; `peer` opened it, or this process did.
+    fn on_link_up(&mut self, link: LinkId, writer: Writer, peer: Option<Peer>, now: Millis) {
+        if peer.is_some() {
+            writer.send(&Message::Hello(Peer::Storage(self.own.clone())));
+        }
+        let state = LinkState::new(writer, now);
+        self.links.states.insert(link, state);
+        if let Some(peer) = peer {
+            self.on_hello(link, peer);
+        }
+    }
+
+    fn on_message(&mut self, link: LinkId, message: Message, now: Millis) {
+        if let Some(state) = self.links.get_mut(link) {
+            state.heard_at = now;
+        }
+        match message {
+            Message::Hello(peer) => self.on_hello(link, peer),
+            // For an earlier life of this disk: it must not be taken.
+            Message::Consensus { to, .. } if to != self.own.id => {}
+            Message::Consensus { from, message, .. } => {
+                self.consensus.receive(from, message, now);
+            }
+            Message::NeedView => {
+                if let Some(state) = self.links.get_mut(link) {
+                    state.has_view = false;
+                    self.links.edges_lack_view = true;
+                }
+            }
+            Message::Ask { number, question } => self.on_question(link, number, question),
+            Message::Leading { members, .. } => {
+                self.group.record.led(now);
+                self.learn_members(&members);
+            }
+            Message::Beat { .. } if self.links.is_to_storage(link) => {
+                self.group.record.led(now);
+            }
+            other => self.on_edge_message(link, other),
+        }
+    }
+}
--- a/crates/cluster/src/storage/load.rs
+++ b/crates/cluster/src/storage/load.rs
@@ -1,39 +1,46 @@
-//! How busy a process is, by its own loop: the share of time in which it did not wait.
+//! Whether a process is busy, by the share of time in which its loop did not wait: a pure
+//! decision.
 //!
-//! A process that is held back (its share of a core is spent) counts as busy, as it
-//! should: what it has to do waits meanwhile. Packing takes most of a leader's time where many
-//! texts pass through it, so a process that is busy most of the time stops packing.
+//! A process that the system does not run (its share of a core is spent) counts as busy, since
+//! what it has to do waits meanwhile. Packing takes most of a leader's time where many texts pass
+//! through it, so a busy process stops packing.
 
-/// Time over which the share is taken, in ms.
-const SPAN: u64 = 500;
-/// Share of the time, in percent, from which a process counts as busy.
-const BUSY: u64 = 50;
-/// Share below which it no longer does: far lower, since not packing makes it less busy.
-const IDLE: u64 = 20;
+use brasspond_units::Millis;
+
+/// Time over which the share is taken: some tens of turns. Not measured.
+const LOAD_WINDOW: Millis = 500;
+/// Share of the time, in percent, from which a process counts as busy. Not measured.
+const BUSY_PERCENT: u64 = 50;
+/// Share, in percent, below which it no longer does: far lower, since a process that does not
+/// pack is less busy. Not measured.
+const IDLE_PERCENT: u64 = 20;
 
 /// The share of time spent at work.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoopLoad {
-    since: u64,
+    /// Start of the window.
+    since: Millis,
+    /// Time worked in it, in microseconds.
     worked: u64,
     is_busy: bool,
 }
 
 impl LoopLoad {
-    /// The loop worked for `worked` microseconds until `now`, in ms. Says whether that
-    /// changed whether the process is busy.
-    pub fn worked(&mut self, worked: u64, now: u64) -> bool {
+    /// The loop worked for `worked` microseconds until `now`. Says whether that changed whether
+    /// the process is busy.
+    pub fn worked(&mut self, worked: u64, now: Millis) -> bool {
         self.worked += worked;
         let span = now.saturating_sub(self.since);
-        if span < SPAN {
+        if span < LOAD_WINDOW {
             return false;
         }
+        // Microseconds by ms are thousandths.
         let percent = self.worked / (10 * span);
         let was_busy = self.is_busy;
         self.is_busy = if was_busy {
-            percent >= IDLE
+            percent >= IDLE_PERCENT
         } else {
-            percent >= BUSY
+            percent >= BUSY_PERCENT
         };
         self.since = now;
         self.worked = 0;
--- a/crates/cluster/src/storage/mod.rs
+++ b/crates/cluster/src/storage/mod.rs
@@ -1,16 +1,23 @@
 //! A storage process: keeps the replicated log; its leader runs the jobs.
+//!
+//! Public modules are pure decisions, driven by tests without processes; the others do I/O.
 
 mod announcing;
 mod applying;
 mod collecting;
 pub mod copying;
+mod disk;
 mod edges;
 mod evacuation;
 mod group;
 pub mod leader_rules;
 mod leading;
+mod links;
 pub mod load;
+mod local;
 pub mod long_poll;
+mod membership;
+mod monitor;
 mod order_log;
 mod ordering;
 pub mod places;
@@ -18,11 +25,14 @@
 mod process;
 mod quarantine;
 mod questions;
+mod record;
 mod residency;
+pub mod retirements;
 mod scaling;
 pub mod search;
 pub mod standbys;
 mod texts;
+mod turn;
 mod usage;
 mod warming;
 
--- a/crates/cluster/src/storage/ordering.rs
+++ b/crates/cluster/src/storage/ordering.rs
@@ -6,7 +6,8 @@
 //! not sent, so that its decider tries again.
 
 use super::leader_rules::{is_announcement_fresh, may_give_order};
-use super::process::{Local, Storage};
+use super::local::Local;
+use super::process::Storage;
 use crate::platform::{VersionOrder, WireFormat};
 use crate::upstream::{Pool, UpstreamError};
 use brasspond_autoscaling::ScaleOrder;
--- a/crates/cluster/src/storage/places.rs
+++ b/crates/cluster/src/storage/places.rs
@@ -1,4 +1,7 @@
-//! Where the log's members may and should stand: a pure measure of a set of voters.
+//! Where the log's members may and should be placed: a pure measure of a set of voters.
+//!
+//! A place is a zone and a region. Residency says where a member may stand, declared losses and
+//! the commit region where it should. A member of unknown region is inside no bound regions.
 
 use super::plan::Candidate;
 use brasspond_consensus::{Member, MemberId};
--- a/crates/cluster/src/storage/plan.rs
+++ b/crates/cluster/src/storage/plan.rs
@@ -1,18 +1,22 @@
-//! Which change of the log's members comes next: a pure decision.
+//! Which change of the log's voters comes next, and when a leader hands over: pure decisions.
+//!
+//! Times are in ms. A candidate whose log or last sign of life is not known counts as neither
+//! caught up nor alive: it is not made a voter, and nobody is replaced by it.
 
 use super::places::{Places, Strain};
 use brasspond_consensus::{Member, MemberId};
+use brasspond_units::Millis;
 use std::collections::BTreeSet;
 
-/// A member as the leader sees it.
+/// A member as the leader knows it.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// Who it is.
     pub member: Member,
     /// Entries it lacks; none: not known.
     pub lag: Option<u64>,
-    /// Milliseconds since it was last heard; none: never.
-    pub silent_ms: Option<u64>,
+    /// Time since it answered the leader, in ms; none: it is not sent the log.
+    pub silent_ms: Option<Millis>,
 }
 
 /// What the leader knows.
@@ -22,7 +26,7 @@
     pub own: MemberId,
     /// Voters.
     pub voters: &'a [Member],
-    /// All members heard of, voters or not.
+    /// Voters and all other connected storage processes.
     pub candidates: &'a [Candidate],
     /// Machines to be emptied.
     pub retiring: &'a BTreeSet<String>,
@@ -43,24 +47,42 @@
     HandOver,
 }
 
-/// A voter this long silent is replaced where another machine can take its
-/// place, in ms.
-const DEAD_MS: u64 = 1_500;
-/// A member heard within this time is alive, in ms.
-const ALIVE_MS: u64 = 700;
-/// Entries a member may lack and still be made a voter.
+/// Silence after which a voter is replaced where another machine can take its place: ten
+/// heartbeats (150 ms each), and as long as a link without acknowledgements lasts
+/// (docs/OPERATIONS.md). Not measured.
+const DEAD_SILENCE: Millis = 1_500;
+/// Silence up to which a member counts as alive: four heartbeats (150 ms each) and the way. Not
+/// measured.
+const ALIVE_SILENCE: Millis = 700;
+/// Entries a member may lack and still be made a voter: it catches up within a message. Not
+/// measured.
 const SMALL_LAG: u64 = 64;
+/// Pause between two hand-overs for the leader's place: several elections, and short beside the
+/// time for which a group stays at its place. Each attempt costs a term. Not measured.
+const PLACE_HAND_OVER_PAUSE: Millis = 5_000;
+
+/// Whether a leader that is to hand over does so now: at once where its machine is to be
+/// emptied; for its place alone, not again within [`PLACE_HAND_OVER_PAUSE`] of `last`, when it
+/// last handed over (none: never).
+pub fn is_hand_over_due(last: Option<Millis>, is_retiring: bool, now: Millis) -> bool {
+    let is_early = last.is_some_and(|last| now < last + PLACE_HAND_OVER_PAUSE);
+    is_retiring || !is_early
+}
 
 /// The next step towards `target` live voters on machines that stay, at the places wanted.
 ///
-/// Invariants: one member changes at a time; a voter is never taken out while
-/// that would leave fewer live voters than a quorum of the rest; a member
-/// becomes a voter only once it has nearly all of the log; a machine that is to
-/// be emptied keeps its vote until another live one has taken its place, since
-/// fewer live voters than the target do not bear the losses that were declared; no member
-/// is added outside the regions that bind, but a machine that lost its disk and votes
-/// there; a voter gives way for its place alone only to one that makes the set better, so
-/// that changes come to an end.
+/// Invariants:
+///
+/// - One member changes at a time.
+/// - A voter is never removed while that would leave fewer live voters than a quorum of the
+///   rest.
+/// - A member becomes a voter only once it has nearly all of the log.
+/// - A machine that is to be emptied keeps its vote until another live one has taken its place:
+///   fewer live voters than the target do not bear the losses that were declared.
+/// - No member is added outside the regions that bind, except for a machine that lost its disk
+///   and votes there.
+/// - A voter is replaced for its place alone only by one that makes the set better, so that
+///   changes come to an end.
 pub fn next_step(situation: &Situation<'_>) -> Step {
     if let Some(step) = drop_lost_disk(situation) {
         return step;
@@ -74,8 +96,8 @@
     }
 }
 
-/// Who may lead next: live voters that stay and lack next to nothing, those in place alone
-/// where there are any.
+/// Who may lead next: live, caught up voters on machines that stay; only those in place where
+/// there are any.
 pub fn successors(situation: &Situation<'_>) -> Vec<MemberId> {
     let others = situation.voters.iter().filter(|voter| {
         let known = find(situation, voter.id);
@@ -96,8 +118,8 @@
 }
 
 /// A machine that came back under another identity lost its disk: its old
-/// identity will never answer again. Where the machine stands outside the regions that bind,
-/// its new identity votes first: it may take that place alone.
+/// identity will never answer again and is removed. Where the machine stands outside the regions
+/// that bind, its new identity votes first: only the place of the old one is open to it.
 fn drop_lost_disk(situation: &Situation<'_>) -> Option<Step> {
     let lost = situation.voters.iter().find(|voter| {
         let successor = situation.candidates.iter().any(|candidate| {
@@ -150,8 +172,8 @@
     voters.any(|voter| voter.machine == candidate.member.machine)
 }
 
-/// A full group takes another voter where the set is better with it in another's place,
-/// which then goes.
+/// A full group adds a voter where the set is better with it in another's place; that one is
+/// removed next.
 fn move_voter(situation: &Situation<'_>) -> Option<Step> {
     let voters = situation.voters;
     if voters.len() != situation.target {
@@ -168,7 +190,7 @@
     (best < strain).then(|| with(situation, &newcomer.member))
 }
 
-/// A leader out of place gives way to a voter in place.
+/// A leader out of place hands over to a voter in place.
 fn move_leader(situation: &Situation<'_>) -> Step {
     let places = situation.places;
     let voters = situation.voters;
@@ -229,8 +251,8 @@
     Step::Stay
 }
 
-/// Of more voters than wanted the one goes without which the set is best; the leader only
-/// where it is better without it than without any other.
+/// Of more voters than wanted, removes the one without which the set is best; the leader only
+/// where the set is better without it than without any other.
 fn remove_spare(situation: &Situation<'_>) -> Step {
     let voters = situation.voters.iter().rev();
     let others = voters.filter(|voter| voter.id != situation.own);
@@ -269,7 +291,9 @@
 }
 
 fn is_alive(candidate: &Candidate) -> bool {
-    candidate.silent_ms.is_some_and(|silent| silent <= ALIVE_MS)
+    candidate
+        .silent_ms
+        .is_some_and(|silent| silent <= ALIVE_SILENCE)
 }
 
 fn is_caught_up(candidate: &Candidate) -> bool {
@@ -282,7 +306,7 @@
 
 fn is_dead(situation: &Situation<'_>, id: MemberId) -> bool {
     let silent = find(situation, id).and_then(|candidate| candidate.silent_ms);
-    id != situation.own && silent.is_none_or(|silent| silent >= DEAD_MS)
+    id != situation.own && silent.is_none_or(|silent| silent >= DEAD_SILENCE)
 }
 
 fn is_zone_held(situation: &Situation<'_>, candidate: &Candidate) -> bool {
--- a/crates/cluster/src/storage/quarantine.rs
+++ b/crates/cluster/src/storage/quarantine.rs
@@ -75,7 +75,7 @@
         let Some(leading) = &mut self.leading else {
             return;
         };
-        if leading.unsent_contents.is_empty() && !self.edges_lack_quarantine {
+        if leading.unsent_contents.is_empty() && !self.links.edges_lack_quarantine {
             return;
         }
         let ledger = self.table.quarantine();
@@ -88,10 +88,7 @@
         }));
         let whole = encode(&Message::Quarantine(whole_list(ledger)));
         let mut some_lack_it = false;
-        for state in self.links.values_mut() {
-            if !state.is_edge() || state.announced_term != leading.term {
-                continue;
-            }
+        for state in self.links.announced_edges(leading.term) {
             if !state.has_quarantine {
                 state.has_quarantine = state.writer.send_frame(Kind::Other, whole.clone());
             } else if has_changes {
@@ -99,7 +96,7 @@
             }
             some_lack_it |= !state.has_quarantine;
         }
-        self.edges_lack_quarantine = some_lack_it;
+        self.links.edges_lack_quarantine = some_lack_it;
     }
 }
 
--- a/crates/cluster/src/storage/questions.rs
+++ b/crates/cluster/src/storage/questions.rs
@@ -330,7 +330,7 @@
 
     /// Sends an answer; where the link is gone its edge asks again on the next one.
     fn answer(&mut self, asker: Asker, answer: Answer) {
-        if let Some(state) = self.links.get(&asker.link) {
+        if let Some(state) = self.links.get(asker.link) {
             state.writer.send(&Message::Reply {
                 number: asker.number,
                 answer,
--- a/crates/cluster/src/storage/scaling.rs
+++ b/crates/cluster/src/storage/scaling.rs
@@ -2,8 +2,9 @@
 //!
 //! Owns no state. An order goes to the platform, one holder at a time for each service and zone.
 
+use super::local::Local;
 use super::ordering::Announced;
-use super::process::{Local, Storage};
+use super::process::Storage;
 use crate::platform::{Holder, OperationsAnswer};
 use brasspond_autoscaling::{ScaleAnswer, ScaleOrder};
 use brasspond_units::Millis;
--- a/crates/cluster/src/storage/standbys.rs
+++ b/crates/cluster/src/storage/standbys.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 /// Members that are sent the log without a vote, at the least: one to take a lost voter's
-/// place at once, and others for the losses that follow while the next catches up.
-const STANDBYS: usize = 3;
+/// place at once, and others for the losses that follow while the next catches up. Not measured.
+const LEAST_STANDBYS: usize = 3;
 
 /// A member that does not vote.
 #[derive(Clone, Debug)]
@@ -21,15 +21,17 @@
     pub is_learner: bool,
 }
 
-/// Those of `waiting` that are sent the log: those whose machines lost their disks, one to
-/// take a lost voter's place or that of one that stands badly, one in each region
-/// that has no member to read results at, where one waits in a zone with edges, and more up to
-/// the least number. None stands
-/// outside the regions that bind, but a machine that is back for its own place: its old
-/// identity votes, and the group that cannot replace it loses a vote for good.
+/// Those of `waiting` that are sent the log, in this order:
 ///
-/// One a region, not one a zone: a copy of the log costs more bytes between zones than the
-/// results that a zone's edges read from the next zone.
+/// 1. Those whose machines lost their disks.
+/// 2. One to replace a voter that is lost or out of place.
+/// 3. One in each region without a member at which results may be read, where one waits in a
+///    zone with edges (`edge_zones`). One a region, not one a zone: a copy of the log costs more
+///    bytes between zones than the results that a zone's edges read from the next zone.
+/// 4. More, up to [`LEAST_STANDBYS`] beside the first kind.
+///
+/// None stands outside the regions that bind, except for a machine that returned without its
+/// disk: its old identity votes, and a group that cannot replace it loses a vote for good.
 pub fn standbys(
     waiting: Vec<Waiting>,
     voters: &[Member],
@@ -66,7 +68,7 @@
             chosen.push(left.remove(there));
         }
     }
-    let missing = (returned + STANDBYS).saturating_sub(chosen.len());
+    let missing = (returned + LEAST_STANDBYS).saturating_sub(chosen.len());
     chosen.extend(left.into_iter().take(missing));
     chosen
 }
@@ -80,8 +82,8 @@
     }
 }
 
-/// The least strain of the voters with this member in the place of one of them; `strain` is
-/// theirs now, and nothing is looked for where it is the least that there is.
+/// The least strain of the voters with this member in the place of one of them. `strain` is
+/// theirs now; where it is none, no swap is tried.
 fn strain_with(member: &Member, voters: &[Member], strain: Strain, places: &Places) -> Strain {
     if strain == Strain::default() {
         return strain;
--- a/crates/cluster/src/storage/texts.rs
+++ b/crates/cluster/src/storage/texts.rs
@@ -1,29 +1,34 @@
 //! Texts of ended jobs: out of memory, onto the disk, and back for reads.
+//!
+//! Owns [`Texts`]. The log alone keeps texts for good: a text that cannot be written stays in
+//! memory, one that cannot be read is read at another member.
 
 use super::process::{ProcessError, Storage};
 use brasspond_durable::TextFiles;
 use brasspond_jobs::{Command, JobTable, Page};
 use bytes::Bytes;
 use std::collections::VecDeque;
+use std::path::Path;
 
-/// Jobs whose texts are to be written to the disk, the oldest first.
-#[derive(Debug, Default)]
-pub(super) struct EndedJobs {
-    waiting: VecDeque<String>,
+/// Texts outside the table.
+pub(super) struct Texts {
+    files: TextFiles,
+    /// Ended jobs whose texts are to be written to the disk, the oldest first.
+    ended: VecDeque<String>,
 }
 
-impl EndedJobs {
-    /// All ended jobs of a table whose texts all lie in it.
-    pub fn of(table: &JobTable) -> Self {
+impl Texts {
+    /// For a table that holds all its texts: those of its ended jobs are to be written.
+    pub fn open(folder: &Path, table: &JobTable) -> Result<Self, ProcessError> {
+        let files = TextFiles::open(folder).map_err(ProcessError::Texts)?;
         let ended = table.jobs().filter(|(_, job)| job.ended);
-        Self {
-            waiting: ended.map(|(id, _)| id.clone()).collect(),
-        }
+        let ended = ended.map(|(id, _)| id.clone()).collect();
+        Ok(Self { files, ended })
     }
 
     /// A job ended.
-    pub fn push(&mut self, job: String) {
-        self.waiting.push_back(job);
+    pub fn job_ended(&mut self, job: String) {
+        self.ended.push_back(job);
     }
 }
 
@@ -31,14 +36,14 @@
     /// Writes the texts of one ended job to the disk. One at a time: a process that
     /// starts finds many.
     pub(super) fn put_texts_away(&mut self) {
-        let Some(job) = self.ended_jobs.waiting.pop_front() else {
+        let Some(job) = self.texts.ended.pop_front() else {
             return;
         };
         let texts = self.table.spare_texts(&job);
         if texts.is_empty() {
             return;
         }
-        match self.text_files.write(texts.iter().map(|(_, text)| text)) {
+        match self.texts.files.write(texts.iter().map(|(_, text)| text)) {
             Ok(file) => self.table.put_away(&job, file, &texts),
             // The texts stay in memory.
             Err(error) => log::warn!("event=texts_not_written job={job} error=\"{error}\""),
@@ -53,7 +58,7 @@
         if let Some(away) = away
             && let Some(span) = page.span(since, away)
         {
-            match self.text_files.read(away.file, span.offset, span.length) {
+            match self.texts.files.read(away.file, span.offset, span.length) {
                 Ok(bytes) => page.fill(since, away, span, &bytes),
                 Err(error) => {
                     log::warn!("event=texts_unreadable job={job} error=\"{error}\"");
@@ -64,16 +69,15 @@
         Some(page)
     }
 
-    /// Another table takes the place of this one: its texts all lie in it.
+    /// Another table, which holds all its texts, takes the place of this one.
     pub(super) fn replace_table(&mut self, table: JobTable) -> Result<(), ProcessError> {
-        let folder = &self.settings.folder;
-        self.text_files = TextFiles::open(folder).map_err(ProcessError::Texts)?;
-        self.ended_jobs = EndedJobs::of(&table);
+        self.texts = Texts::open(&self.settings.folder, &table)?;
         self.table = table;
         Ok(())
     }
 
-    /// Removes the files of jobs that a command drops. Call before it is applied.
+    /// Removes the files of jobs that a command drops; call it before the command is applied. A
+    /// file that stays is emptied with the next start.
     pub(super) fn remove_texts(&self, command: &Command) {
         let Command::Forget { jobs } = command else {
             return;
@@ -82,7 +86,7 @@
             .iter()
             .filter_map(|job| self.table.job(job)?.away.as_ref());
         for away in away {
-            if let Err(error) = self.text_files.remove(away.file) {
+            if let Err(error) = self.texts.files.remove(away.file) {
                 log::warn!(
                     "event=texts_not_removed file={} error=\"{error}\"",
                     away.file
@@ -108,7 +112,8 @@
             let whole = whole.get_or_insert_with(|| self.table.clone());
             for (position, place) in &away.places {
                 let text = self
-                    .text_files
+                    .texts
+                    .files
                     .read(away.file, place.offset, place.length)?;
                 whole.restore(id, *position, text);
             }
--- a/crates/cluster/src/storage/usage.rs
+++ b/crates/cluster/src/storage/usage.rs
@@ -3,8 +3,9 @@
 //!
 //! Owns no state. A report is an order: one holder at a time gives it, fenced by its term.
 
+use super::local::Local;
 use super::ordering::{Announced, USAGE_SUBJECT};
-use super::process::{Local, Storage};
+use super::process::Storage;
 use crate::platform::{Holder, OperationsAnswer};
 use brasspond_jobs::Command;
 use brasspond_metering::{Counts, MeterAction, SendAnswer, WindowNumber};
--- a/crates/cluster/tests/plan.rs
+++ b/crates/cluster/tests/plan.rs
@@ -1,7 +1,7 @@
 //! Which change of the log's members comes next.
 
 use brasspond_cluster::storage::places::{Losses, Places, Wanted};
-use brasspond_cluster::storage::plan::{Candidate, Situation, Step, next_step};
+use brasspond_cluster::storage::plan::{Candidate, Situation, Step, is_hand_over_due, next_step};
 use brasspond_consensus::{Member, MemberId};
 use brasspond_fleet::Regions;
 use rstest::rstest;
@@ -185,3 +185,17 @@
     case.voters.push(member(5, "e", "y"));
     assert_eq!(ids(&case.next()), [1, 4, 5]);
 }
+
+#[rstest]
+#[case::the_first(None, false, 1_000, true)]
+#[case::too_soon_for_its_place(Some(1_000), false, 5_999, false)]
+#[case::later_for_its_place(Some(1_000), false, 6_000, true)]
+#[case::at_once_for_a_retirement(Some(1_000), true, 1_001, true)]
+fn a_hand_over_for_the_leaders_place_is_not_repeated_at_once(
+    #[case] last: Option<u64>,
+    #[case] is_retiring: bool,
+    #[case] now: u64,
+    #[case] is_due: bool,
+) {
+    assert_eq!(is_hand_over_due(last, is_retiring, now), is_due);
+}
