--- a/crates/cluster/src/storage/mod.rs
+++ b/crates/cluster/src/storage/mod.rs
@@ -1,25 +1,38 @@
 //! A storage process: keeps the replicated log; its leader runs the jobs.
+//!
+//! Public modules are pure decisions, driven by tests without processes; the others do I/O.
 
+mod announcing;
 mod applying;
-mod asks;
+mod collecting;
 pub mod copying;
+mod disk;
+mod edges;
 mod evacuation;
-pub mod gathering;
 mod group;
+pub mod leader_rules;
 mod leading;
+mod links;
 pub mod load;
+mod local;
+pub mod long_poll;
+mod membership;
+mod monitor;
 mod order_log;
 mod ordering;
 pub mod places;
 pub mod plan;
 mod process;
 mod quarantine;
+mod questions;
+mod record;
 mod residency;
+pub mod retirements;
 mod scaling;
 pub mod search;
-mod spread;
 pub mod standbys;
 mod texts;
+mod turn;
 mod usage;
 mod warming;
 
