--- a/standalone/bench/benches/decisions.rs
+++ b/standalone/bench/benches/decisions.rs
@@ -5,9 +5,7 @@
 use brasspond_membership::{Instance, Member, MemberState, Message};
 use brasspond_protocol::{Envelope, KEY_BYTES, PROTOCOL_VERSION, PeerMessage, Sealer, Sender};
 use brasspond_resource::Revision;
-use brasspond_routing::{
-    EngineLoad, EngineTable, EngineView, PlacementRequest, Policy, prefix_hashes,
-};
+use brasspond_routing::{EngineLoad, EngineTable, EngineView, PlacementRequest, prefix_hashes};
 use brasspond_types::{
     EngineName, GroupName, Locality, ModelName, NodeName, Timestamp, WeightVersion, ZoneName,
 };
@@ -27,7 +25,7 @@
         view.models.insert(model.clone(), WeightVersion(3));
         view
     });
-    let mut table = EngineTable::new(Policy::Cost);
+    let mut table = EngineTable::default();
     table.replace(views.collect(), now);
     for index in 0..ENGINES {
         let running = (index % 60) as u32;
--- a/standalone/control/src/control.rs
+++ b/standalone/control/src/control.rs
@@ -87,7 +87,7 @@
     ) -> Self {
         let me = myself.name.clone();
         let instance = myself.instance.0;
-        let mut engines = EngineTable::new(parameters.policy);
+        let mut engines = EngineTable::default();
         engines.set_speed(parameters.speed);
         let membership = Membership::new(myself, seeds, parameters.membership.clone());
         let mut control = Self {
@@ -119,16 +119,6 @@
         control
     }
 
-    /// Enters members and configuration at once, as a fleet that has been
-    /// running would know them.
-    pub fn preload(&mut self, members: &[Member], catalogue: Catalogue, now: Timestamp) {
-        self.membership.preload(members.iter().cloned());
-        self.replica.learn_snapshot(catalogue);
-        self.readiness = Readiness::already_ready();
-        self.refresh_working();
-        self.reconfigure(now);
-    }
-
     /// Name of this node.
     pub fn name(&self) -> &NodeName {
         &self.me
--- a/standalone/control/src/lib.rs
+++ b/standalone/control/src/lib.rs
@@ -1,9 +1,8 @@
 //! The decisions of a node, free of I/O: `(state, event, now) -> actions`.
 //!
 //! [`Control`] joins the parts that each decide one matter and holds no clock,
-//! socket or thread. The running node, the fuzzer and the hollow fleet of the
-//! experiments all drive this same type: they feed it [`Event`]s and carry out
-//! its [`Action`]s. See `docs/ARCHITECTURE.md`.
+//! socket or thread. The running node and the simulation drive this same type:
+//! they feed it [`Event`]s and apply its [`Action`]s. See `docs/ARCHITECTURE.md`.
 #![forbid(unsafe_code)]
 
 mod claims;
--- a/standalone/control/src/owner/orders.rs
+++ b/standalone/control/src/owner/orders.rs
@@ -196,9 +196,6 @@
         let Some(report) = &self.report else {
             return;
         };
-        if context.parameters.whole_batch && !self.grants.is_empty() {
-            return;
-        }
         let served = context.catalogue.newest_versions();
         let missing = served.keys().find_map(|model| {
             let newest = versions.newest(model).min(served[model]);
--- a/standalone/control/src/parameters.rs
+++ b/standalone/control/src/parameters.rs
@@ -1,7 +1,7 @@
 //! Settings of the decisions.
 
 use brasspond_membership as membership;
-use brasspond_routing::{Policy, SpeedEstimate};
+use brasspond_routing::SpeedEstimate;
 use brasspond_types::Mutations;
 use std::time::Duration;
 
@@ -10,8 +10,6 @@
 pub struct Parameters {
     /// Timing of failure detection.
     pub membership: membership::Parameters,
-    /// How engines are chosen.
-    pub policy: Policy,
     /// Speed of engines, for the cost formula.
     pub speed: SpeedEstimate,
     /// Time between two polls of an owned engine.
@@ -25,8 +23,6 @@
     pub interactive_reserve: f64,
     /// Queued slots a step for each engine.
     pub window_per_engine: f64,
-    /// Whether the slots of a step with the longest expected answers go first.
-    pub longest_first: bool,
     /// Nodes that read the store.
     pub store_readers: usize,
     /// Engines that load a version from the weight store; all others load it
@@ -40,9 +36,6 @@
     pub claim_voters: usize,
     /// Peers a change or a summary is pushed to.
     pub spread: usize,
-    /// Whether all samples must be done before weights are swapped
-    /// (a baseline to compare with).
-    pub whole_batch: bool,
     /// Deliberate faults; none outside tests.
     pub mutations: Mutations,
 }
@@ -51,21 +44,18 @@
     fn default() -> Self {
         Self {
             membership: membership::Parameters::default(),
-            policy: Policy::Cost,
             speed: SpeedEstimate::default(),
             poll_period: Duration::from_millis(500),
             report_age_limit: Duration::from_millis(1_500),
             grant_age_limit: Duration::from_millis(800),
             interactive_reserve: 1.0 / 16.0,
             window_per_engine: 4.0,
-            longest_first: true,
             store_readers: 5,
             weight_roots: 12,
             weight_fanout: 4,
             claim_shards: 16,
             claim_voters: 3,
             spread: 3,
-            whole_batch: false,
             mutations: Mutations::default(),
         }
     }
--- a/standalone/control/src/steps.rs
+++ b/standalone/control/src/steps.rs
@@ -522,11 +522,10 @@
         for entry in self.entries.values_mut().filter(|entry| entry.is_home) {
             let group = &entry.step.spec().id.group;
             let lengths = self.lengths.entry(group.clone()).or_default();
-            let order = context.parameters.longest_first.then_some(&*lengths);
             let waiting = entry.generations.values();
             let mut queued = waiting.filter(|id| generations.is_waiting(**id)).count();
             while queued < window {
-                let Some(slot) = entry.step.take_next(order) else {
+                let Some(slot) = entry.step.take_next(lengths) else {
                     break;
                 };
                 if entry.elsewhere.contains_key(&slot) {
@@ -545,5 +544,3 @@
     let message = StepMessage::Reply { id, reply };
     context.send(to, PeerMessage::Step(message));
 }
-
-impl Entry {}
--- a/standalone/dissemination/src/readiness.rs
+++ b/standalone/dissemination/src/readiness.rs
@@ -19,7 +19,8 @@
 }
 
 impl Readiness {
-    /// A node that needs to hear nothing, such as one in a preloaded fleet.
+    /// A node that needs to hear nothing: the deliberate fault that trusts a
+    /// configuration kept on disk.
     pub fn already_ready() -> Self {
         Self {
             ready: true,
--- a/standalone/emulator/src/engine.rs
+++ b/standalone/emulator/src/engine.rs
@@ -123,8 +123,6 @@
     leaving: bool,
     reports: VecDeque<(Timestamp, EngineReport)>,
     events: Vec<EngineEvent>,
-    tokens_made: u64,
-    busy: Duration,
     random: ChaCha8Rng,
 }
 
@@ -153,8 +151,6 @@
             leaving: false,
             reports: VecDeque::new(),
             events: Vec::new(),
-            tokens_made: 0,
-            busy: Duration::ZERO,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -174,16 +170,6 @@
         self.running.len() + self.waiting_count()
     }
 
-    /// Whether the engine is about to stop.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
-    }
-
-    /// Tokens generated and time spent decoding since the start.
-    pub fn work_done(&self) -> (u64, Duration) {
-        (self.tokens_made, self.busy)
-    }
-
     /// Changes the probability that a swap fails.
     pub fn set_swap_failure(&mut self, probability: f64) {
         self.parameters.swap_failure = probability;
@@ -419,7 +405,6 @@
         if prefill > 0 {
             let time = Duration::from_nanos(prefill * self.parameters.prefill_per_token_nanos);
             self.clock = self.clock + time;
-            self.busy += time;
             if self.clock >= now {
                 return false;
             }
@@ -438,7 +423,6 @@
         let until_swap = self.steps_until_swap(step);
         let steps = fitting.min(remaining).min(until_swap).min(MOST_STEPS) as u32;
         self.clock = self.clock + step * steps;
-        self.busy += step * steps;
         self.generate(steps);
         true
     }
@@ -471,7 +455,6 @@
             });
             sequence.generated += steps;
             self.context_tokens += u64::from(steps);
-            self.tokens_made += u64::from(steps);
             if sequence.generated < sequence.length {
                 index += 1;
                 continue;
--- a/standalone/membership/src/detector.rs
+++ b/standalone/membership/src/detector.rs
@@ -127,11 +127,6 @@
         &self.myself
     }
 
-    /// All other members known, in any state.
-    pub fn others(&self) -> impl Iterator<Item = &Member> {
-        self.members.values()
-    }
-
     /// A member by name, this node included.
     pub fn get(&self, name: &NodeName) -> Option<&Member> {
         if *name == self.myself.name {
--- a/standalone/rollout/src/step.rs
+++ b/standalone/rollout/src/step.rs
@@ -160,15 +160,6 @@
         self.digests[self.spec.prompt_index(slot)]
     }
 
-    /// Expected tokens of all waiting slots.
-    pub fn pending_tokens(&self, lengths: &LengthModel) -> f64 {
-        let waiting = self.pending.iter().map(|(prompt, slots)| {
-            let known = lengths.of_prompt(self.digests[*prompt]);
-            known.unwrap_or(lengths.mean()) * slots.len() as f64
-        });
-        waiting.sum()
-    }
-
     fn wait_again(&mut self, slot: u32) {
         self.slots[slot as usize] = SlotState::Pending;
         let prompt = self.spec.prompt_index(slot);
@@ -186,11 +177,6 @@
         }
     }
 
-    /// Whether all slots are finished.
-    pub fn is_whole(&self) -> bool {
-        self.pending_count == 0 && self.active == 0
-    }
-
     /// Slots neither finished nor waiting.
     pub fn active(&self) -> u32 {
         self.active
@@ -227,13 +213,9 @@
     /// One sample of each prompt of unknown length goes first, to learn it;
     /// then the slots with the longest expected answers, since what is started
     /// last should be short (Graham, *Bounds on Multiprocessing Timing
-    /// Anomalies*, 1969: longest processing time first). Without lengths the
-    /// slots go in order.
-    pub fn take_next(&mut self, lengths: Option<&LengthModel>) -> Option<u32> {
-        let prompt = match lengths {
-            Some(lengths) => self.longest_prompt(lengths)?,
-            None => *self.pending.keys().next()?,
-        };
+    /// Anomalies*, 1969: longest processing time first).
+    pub fn take_next(&mut self, lengths: &LengthModel) -> Option<u32> {
+        let prompt = self.longest_prompt(lengths)?;
         let slot = *self.pending.get(&prompt)?.first()?;
         self.wait_no_more(slot);
         self.slots[slot as usize] = SlotState::Active;
--- a/standalone/routing/src/lib.rs
+++ b/standalone/routing/src/lib.rs
@@ -18,7 +18,6 @@
 pub use health::Health;
 pub use owner::{assign_evenly, rank, rank_distinct_zones};
 pub use placement::{
-    EngineLoad, EngineTable, EngineView, Placement, PlacementRequest, Policy, PoolLoad,
-    SpeedEstimate,
+    EngineLoad, EngineTable, EngineView, Placement, PlacementRequest, PoolLoad, SpeedEstimate,
 };
 pub use prefix::{BLOCK_TOKENS, CacheEvent, estimate_tokens, prefix_hashes};
--- a/standalone/routing/src/placement.rs
+++ b/standalone/routing/src/placement.rs
@@ -25,21 +25,6 @@
 /// hashing assigns to it, since other nodes may have sent it there.
 const AFFINITY_HIT: f64 = 0.2;
 
-/// How an engine is chosen; all but the first are baselines to compare with.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Policy {
-    /// Lowest expected cost among a bounded sample.
-    #[default]
-    Cost,
-    /// Each engine in turn.
-    RoundRobin,
-    /// Fewest requests sent and reported, over all engines.
-    LeastRequests,
-    /// The less loaded of two engines drawn at random.
-    PowerOfTwo,
-}
-
 /// Load of an engine and its queue, as its owner last told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineLoad {
@@ -119,10 +104,6 @@
             is_own: false,
         }
     }
-
-    fn requests(&self) -> u32 {
-        self.load.running + self.load.queued + self.sent
-    }
 }
 
 /// What has to be placed.
@@ -219,20 +200,10 @@
     own: Vec<usize>,
     sent: SentPrefixes,
     pool: PoolLoad,
-    policy: Policy,
-    next: usize,
     speed: SpeedEstimate,
 }
 
 impl EngineTable {
-    /// Creates an empty table that chooses by `policy`.
-    pub fn new(policy: Policy) -> Self {
-        Self {
-            policy,
-            ..Self::default()
-        }
-    }
-
     /// Sets the speed used in the cost formula.
     pub fn set_speed(&mut self, speed: SpeedEstimate) {
         self.speed = speed;
@@ -326,13 +297,7 @@
         now: Timestamp,
         random: &mut impl Rng,
     ) -> Option<Placement> {
-        let chosen = match self.policy {
-            Policy::Cost => self.choose_by_cost(request, now, random),
-            Policy::RoundRobin => self.choose_in_turn(request, now),
-            Policy::LeastRequests => self.choose_least(request, now),
-            Policy::PowerOfTwo => self.choose_of_two(request, now, random),
-        };
-        let (index, cost) = chosen?;
+        let (index, cost) = self.choose_by_cost(request, now, random)?;
         let engine = &mut self.engines[index];
         engine.sent += 1;
         engine.sent_tokens += request.expected_tokens;
@@ -352,40 +317,6 @@
             && !request.avoid.contains(&engine.name)
     }
 
-    fn choose_in_turn(
-        &mut self,
-        request: &PlacementRequest<'_>,
-        now: Timestamp,
-    ) -> Option<(usize, f64)> {
-        let count = self.engines.len();
-        let start = self.next;
-        let index = (0..count)
-            .map(|offset| (start + offset) % count)
-            .find(|index| self.is_eligible(*index, request, now))?;
-        self.next = index + 1;
-        Some((index, 0.0))
-    }
-
-    fn choose_least(&self, request: &PlacementRequest<'_>, now: Timestamp) -> Option<(usize, f64)> {
-        let eligible =
-            (0..self.engines.len()).filter(|index| self.is_eligible(*index, request, now));
-        let least = eligible.min_by_key(|index| self.engines[*index].requests())?;
-        Some((least, f64::from(self.engines[least].requests())))
-    }
-
-    fn choose_of_two(
-        &self,
-        request: &PlacementRequest<'_>,
-        now: Timestamp,
-        random: &mut impl Rng,
-    ) -> Option<(usize, f64)> {
-        let sample = self.sample(2, request, now, random);
-        let least = sample
-            .into_iter()
-            .min_by_key(|index| self.engines[*index].requests())?;
-        Some((least, f64::from(self.engines[least].requests())))
-    }
-
     /// Draws up to `count` eligible engines: a few draws at random, then, if
     /// these found none, a walk over all.
     fn sample(
--- a/standalone/simulation/src/actions.rs
+++ b/standalone/simulation/src/actions.rs
@@ -42,8 +42,6 @@
             } => {
                 let target = self.node_indices.get(&to).copied();
                 let target = target.or_else(|| self.node_at(address));
-                let sealer = self.sealer.as_ref();
-                self.nodes[node].meter.count(&envelope, sealer);
                 let Some(target) = target else {
                     return;
                 };
--- a/standalone/simulation/src/callers.rs
+++ b/standalone/simulation/src/callers.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::{Origin, RequestKey};
 use crate::world::{Happening, World};
-use brasspond_control::{Event, GenerateRequest, RefusalKind, Reply};
+use brasspond_control::{Event, GenerateRequest, Reply};
 use brasspond_emulator::answer_length;
 use brasspond_fairness::Priority;
 use brasspond_idempotency::{ClaimKey, Decision, Outcome};
@@ -23,8 +23,6 @@
     pub prompt_bytes: usize,
     /// Loans a second.
     pub loan_rate: f64,
-    /// Part of the nodes that callers of models go to; zero for all.
-    pub node_part: f64,
     /// Whether the callers stop after this time; zero for never.
     pub stop_after: Duration,
 }
@@ -45,7 +43,6 @@
     prompt: String,
     seed: u64,
     max_tokens: u32,
-    sent: brasspond_types::Timestamp,
 }
 
 #[derive(Debug)]
@@ -61,26 +58,9 @@
     loan_calls: BTreeMap<u64, LoanCall>,
     loans: BTreeMap<u64, u32>,
     next: u64,
-    pub(crate) answered: u64,
-    pub(crate) tokens: u64,
-    pub(crate) refused: u64,
-    /// Times to the whole answer, in milliseconds.
-    pub(crate) milliseconds: Vec<f64>,
 }
 
 impl World {
-    /// Answers and refusals to callers of models, and the times to a whole
-    /// answer in milliseconds.
-    pub fn caller_totals(&self) -> (u64, u64, &[f64]) {
-        let callers = &self.callers;
-        (callers.answered, callers.refused, &callers.milliseconds)
-    }
-
-    /// Tokens of the answers to callers of models.
-    pub fn caller_tokens(&self) -> u64 {
-        self.callers.tokens
-    }
-
     fn callers_stopped(&self) -> bool {
         let stop = self.config.callers.stop_after;
         stop > Duration::ZERO && self.now.as_secs_f64() > stop.as_secs_f64()
@@ -117,19 +97,12 @@
             minimum_version: WeightVersion(0),
             time_limit: CALLER_TIME,
         };
-        let reached = (self.nodes.len() as f64 * config.node_part).ceil() as usize;
-        let reached = if reached == 0 {
-            self.nodes.len()
-        } else {
-            reached
-        };
-        let node = self.random.random_range(0..reached);
+        let node = self.random.random_range(0..self.nodes.len());
         let max_tokens = config.model_tokens;
         let record = ModelCall {
             prompt,
             seed,
             max_tokens,
-            sent: self.now,
         };
         let body = Box::new(body);
         let sent = self.send_request(node, Origin::Caller(call), |request| Event::Generate {
@@ -151,15 +124,11 @@
         };
         match reply {
             Reply::Generated => {
-                self.callers.answered += 1;
-                let waited = self.now.since(record.sent);
-                self.callers.milliseconds.push(waited.as_secs_f64() * 1e3);
                 let lengths = self.config.engine.lengths;
                 let wanted =
                     answer_length(&lengths, &record.prompt, record.seed, record.max_tokens);
                 let answer = answer.unwrap_or_default();
                 let got = total_tokens(&answer.spans);
-                self.callers.tokens += got;
                 let mark = format!("{:x}@", record.seed);
                 let mut pieces = answer.text.split_terminator(';');
                 let is_own = pieces.all(|piece| piece.starts_with(&mark));
@@ -167,7 +136,6 @@
                     .check_whole(self.now, got, u64::from(wanted), is_own);
             }
             Reply::Refused(refusal) => {
-                self.callers.refused += u64::from(refusal.kind != RefusalKind::NotReady);
                 self.oracle.check_refusal(self.now, refusal.not_run, begun);
             }
             _ => {}
@@ -293,7 +261,7 @@
 
 /// Prompt of a group's step, of the wanted length; the same index is the same
 /// prompt in every step.
-pub fn step_prompt(group: &str, index: u32, bytes: usize) -> String {
+pub(crate) fn step_prompt(group: &str, index: u32, bytes: usize) -> String {
     let mut prompt = format!("{group} prompt {index}: ");
     let mut filler = stable_hash(&[prompt.as_bytes()]);
     while prompt.len() < bytes {
--- a/standalone/simulation/src/config.rs
+++ b/standalone/simulation/src/config.rs
@@ -65,8 +65,6 @@
     pub steps_ahead: u64,
     /// Time to train on a step.
     pub training_time: Duration,
-    /// Time between two publications; zero publishes after each step.
-    pub publish_period: Duration,
 }
 
 /// Everything about a simulated fleet.
@@ -102,14 +100,6 @@
     pub upload_slots: usize,
     /// Time between two ticks of a node.
     pub tick: Duration,
-    /// Whether the fleet begins as if it had been running.
-    pub preloaded: bool,
-    /// Whether messages between nodes are encoded and their bytes counted.
-    pub count_bytes: bool,
-    /// Whether the processor time of decisions is measured.
-    pub measure_time: bool,
-    /// Whether samples carry a text that proves their versions.
-    pub proof: bool,
     /// Faults.
     pub faults: Vec<Fault>,
 }
--- a/standalone/simulation/src/engines.rs
+++ b/standalone/simulation/src/engines.rs
@@ -23,7 +23,6 @@
     generated: Partial,
     reported: Option<WeightVersion>,
     seed: u64,
-    model: ModelName,
 }
 
 /// An engine with its connections.
@@ -37,10 +36,6 @@
     pub(crate) uploads: WeightStore,
     next_stream: u64,
     wake_at: Option<Timestamp>,
-    /// Work done by engines that crashed under this name.
-    lost_work: (u64, Duration),
-    /// Tokens generated for each model.
-    pub(crate) tokens: BTreeMap<ModelName, u64>,
 }
 
 impl SimEngine {
@@ -55,62 +50,11 @@
             uploads,
             next_stream: 1,
             wake_at: None,
-            lost_work: (0, Duration::ZERO),
-            tokens: BTreeMap::new(),
         }
     }
-
-    /// Tokens generated and time spent since the start.
-    pub(crate) fn work(&self) -> (u64, Duration) {
-        let (tokens, busy) = self.engine.work_done();
-        (tokens + self.lost_work.0, busy + self.lost_work.1)
-    }
-
-    pub(crate) fn replace(&mut self, engine: Engine) {
-        self.lost_work = self.work();
-        self.engine = engine;
-    }
-}
-
-/// Work of all engines.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct EngineTotals {
-    /// Tokens generated.
-    pub tokens: u64,
-    /// Tokens generated, by model.
-    pub by_model: BTreeMap<ModelName, u64>,
-    /// Time spent decoding or prefilling, over all engines.
-    pub busy: Duration,
 }
 
 impl World {
-    /// Work of all engines so far.
-    pub fn engine_totals(&self) -> EngineTotals {
-        let mut totals = EngineTotals::default();
-        for engine in &self.engines {
-            let (tokens, busy) = engine.work();
-            totals.tokens += tokens;
-            totals.busy += busy;
-            for (model, tokens) in &engine.tokens {
-                *totals.by_model.entry(model.clone()).or_default() += tokens;
-            }
-        }
-        totals
-    }
-
-    /// Engines that serve a version of a model, or a newer one.
-    pub fn engines_serving(&self, model: &ModelName, version: WeightVersion) -> usize {
-        let serving = self.engines.iter().filter(|engine| {
-            engine.up
-                && engine
-                    .engine
-                    .models()
-                    .get(model)
-                    .is_some_and(|served| *served >= version)
-        });
-        serving.count()
-    }
-
     /// A node's request reaches an engine.
     pub(crate) fn submit(
         &mut self,
@@ -147,7 +91,6 @@
             generated: call.resume.clone(),
             reported: None,
             seed: call.seed,
-            model: call.model.clone(),
         };
         engine.streams.insert(id, stream);
         if let Some(request) = request {
@@ -206,17 +149,11 @@
     }
 
     fn tokens_made(&mut self, index: usize, id: u64, count: u32, version: WeightVersion) {
-        let proof = self.config.proof;
         let engine = &mut self.engines[index];
         let Some(stream) = engine.streams.get_mut(&id) else {
             return;
         };
-        *engine.tokens.entry(stream.model.clone()).or_default() += u64::from(count);
-        let text = if proof {
-            format!("{:x}@{}:{count};", stream.seed, version.0)
-        } else {
-            String::new()
-        };
+        let text = format!("{:x}@{}:{count};", stream.seed, version.0);
         extend(&mut stream.generated, version, count, &text);
         if stream.reported != Some(version) {
             stream.reported = Some(version);
--- a/standalone/simulation/src/faults.rs
+++ b/standalone/simulation/src/faults.rs
@@ -79,7 +79,7 @@
 
 /// Draws `pairs` pairs of faults, the two of a pair close to each other in
 /// time, within the first `span`.
-pub fn draw_faults(
+pub(crate) fn draw_faults(
     random: &mut ChaCha8Rng,
     pairs: usize,
     span: Duration,
--- a/standalone/simulation/src/fuzz.rs
+++ b/standalone/simulation/src/fuzz.rs
@@ -87,7 +87,6 @@
             max_tokens: 400,
             steps_ahead: 1,
             training_time: Duration::from_millis(1_500),
-            publish_period: Duration::ZERO,
         });
     WorldConfig {
         seed,
@@ -110,7 +109,6 @@
             model_tokens: 60,
             prompt_bytes: 64,
             loan_rate: 2.0,
-            node_part: 1.0,
             stop_after: FAULT_SPAN + Duration::from_secs(10),
         },
         operator_period: Duration::from_secs(3),
@@ -132,10 +130,6 @@
         weight_transfer: Duration::from_millis(300),
         upload_slots: 2,
         tick: Duration::from_millis(20),
-        preloaded: false,
-        count_bytes: false,
-        measure_time: false,
-        proof: true,
         faults,
     }
 }
--- a/standalone/simulation/src/operators.rs
+++ b/standalone/simulation/src/operators.rs
@@ -17,15 +17,9 @@
 pub(crate) struct Operators {
     writes: BTreeMap<u64, f64>,
     next: u64,
-    pub(crate) accepted: u64,
 }
 
 impl World {
-    /// Writes that operators saw accepted.
-    pub fn accepted_writes(&self) -> u64 {
-        self.operators.accepted
-    }
-
     /// An operator changes a share; with `racing`, another one does too, from
     /// the same version.
     pub(crate) fn operator_writes(&mut self, racing: bool) {
@@ -68,7 +62,7 @@
     }
 
     /// Lets the operators write nothing more.
-    pub fn stop_operators(&mut self) {
+    pub(crate) fn stop_operators(&mut self) {
         self.config.operator_period = Duration::ZERO;
     }
 
@@ -87,7 +81,6 @@
         let found = self.store_has_share(share);
         match reply {
             Some(Reply::Write(WriteReply::Accepted(_))) => {
-                self.operators.accepted += 1;
                 self.oracle.check_accepted(self.now, found);
             }
             Some(Reply::Write(WriteReply::Conflict | WriteReply::NotWritten)) => {
--- a/standalone/simulation/src/platform.rs
+++ b/standalone/simulation/src/platform.rs
@@ -3,7 +3,6 @@
 use crate::config::WorldConfig;
 use brasspond_control::{PutResult, StoreCall, StoreEvent, WriteOperation};
 use brasspond_emulator::{ObjectStore, StoreError, WeightStore};
-use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Time an answer takes.
@@ -20,9 +19,6 @@
     pub(crate) down: bool,
     pub(crate) slow: bool,
     pub(crate) loses_answers: bool,
-    /// Identities of all writes that took effect.
-    pub(crate) written: BTreeSet<u64>,
-    pub(crate) reads: u64,
 }
 
 /// Answer of the store and the time it takes; no event for a watch that waits.
@@ -39,8 +35,6 @@
             down: false,
             slow: false,
             loses_answers: false,
-            written: BTreeSet::new(),
-            reads: 0,
         }
     }
 
@@ -54,12 +48,8 @@
             };
         }
         let event = match call {
-            StoreCall::List => {
-                self.reads += 1;
-                Some(StoreEvent::Listed(Box::new(self.store.catalogue().clone())))
-            }
+            StoreCall::List => Some(StoreEvent::Listed(Box::new(self.store.catalogue().clone()))),
             StoreCall::Watch(from) => {
-                self.reads += 1;
                 let changes = self.store.changes_after(from);
                 (!changes.is_empty()).then_some(StoreEvent::Changed(changes))
             }
@@ -93,14 +83,7 @@
         expected: Option<brasspond_resource::Revision>,
     ) -> PutResult {
         let result = match operation {
-            WriteOperation::Put(object) => {
-                let identity = object.metadata.write_id;
-                let result = self.store.put(*object, expected);
-                if result.is_ok() {
-                    self.written.insert(identity);
-                }
-                result
-            }
+            WriteOperation::Put(object) => self.store.put(*object, expected),
             WriteOperation::Remove(key) => self.store.remove(&key, expected),
         };
         match result {
--- a/standalone/simulation/src/trainers.rs
+++ b/standalone/simulation/src/trainers.rs
@@ -44,7 +44,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Collecting(Timestamp),
+    Collecting,
     Training(Timestamp),
     Publishing,
     Done,
@@ -53,36 +53,10 @@
 #[derive(Debug, Default)]
 struct OpenStep {
     is_open: bool,
-    opened_at: Timestamp,
-    completed_at: Option<Timestamp>,
     cursor: String,
     held: u32,
 }
 
-/// What a trainer measured.
-#[derive(Clone, Debug, Default)]
-pub struct TrainerTotals {
-    /// Steps trained on.
-    pub steps: u64,
-    /// Samples taken in.
-    pub samples: u64,
-    /// Tokens of these samples.
-    pub tokens: u64,
-    /// Time spent waiting for a batch.
-    pub idle: Duration,
-    /// Time since the start, until done.
-    pub total: Duration,
-    /// Versions behind at hand-over: count of samples by number.
-    pub staleness_versions: BTreeMap<u64, u64>,
-    /// Time since the oldest version was superseded, a sample, in seconds.
-    pub staleness_seconds: Vec<f64>,
-    /// Time from the later of a step's opening and the last sample of the step
-    /// before, to its last sample, a step, in seconds.
-    pub makespans: Vec<f64>,
-    /// Time the trainer waited, a step, in seconds.
-    pub waits: Vec<f64>,
-}
-
 pub(crate) struct SimTrainer {
     config: GroupConfig,
     prompts: Vec<Prompt>,
@@ -93,9 +67,6 @@
     next_call: u64,
     newest: u64,
     wanted: u64,
-    next_publication: Timestamp,
-    published_at: BTreeMap<u64, Timestamp>,
-    pub(crate) totals: TrainerTotals,
 }
 
 impl SimTrainer {
@@ -107,15 +78,12 @@
         Self {
             prompts: prompts.collect(),
             step: 1,
-            phase: Phase::Collecting(Timestamp::ZERO),
+            phase: Phase::Collecting,
             steps: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_call: 0,
             newest: 1,
             wanted: 1,
-            next_publication: Timestamp::ZERO + config.publish_period,
-            published_at: [(1, Timestamp::ZERO)].into(),
-            totals: TrainerTotals::default(),
             config,
         }
     }
@@ -167,28 +135,8 @@
 }
 
 impl World {
-    /// Totals of the trainers, in the order of the groups.
-    pub fn trainer_totals(&self) -> Vec<&TrainerTotals> {
-        self.trainers
-            .iter()
-            .map(|trainer| &trainer.totals)
-            .collect()
-    }
-
-    /// Whether each trainer has slots that wait or run, in the order of the
-    /// groups.
-    pub fn trainers_with_waiting_slots(&self) -> Vec<bool> {
-        let waits = |trainer: &SimTrainer| {
-            let last = (trainer.step + trainer.config.steps_ahead).min(trainer.config.steps);
-            let slots = trainer.slots();
-            let mut steps = (trainer.step..=last).filter_map(|step| trainer.steps.get(&step));
-            steps.any(|open| open.held < slots / 2)
-        };
-        self.trainers.iter().map(waits).collect()
-    }
-
     /// Whether all trainers have played all their steps.
-    pub fn trainers_done(&self) -> bool {
+    pub(crate) fn trainers_done(&self) -> bool {
         self.trainers.iter().all(SimTrainer::is_done)
     }
 
@@ -208,36 +156,24 @@
     fn advance_phase(&mut self, index: usize) {
         let now = self.now;
         let trainer = &mut self.trainers[index];
-        let periodic = trainer.config.publish_period > Duration::ZERO;
-        if periodic && now >= trainer.next_publication {
-            trainer.next_publication = now + trainer.config.publish_period;
-            trainer.wanted = trainer.newest + 1;
-        }
         match trainer.phase {
-            Phase::Collecting(since) if trainer.is_complete(trainer.step) => {
+            Phase::Collecting if trainer.is_complete(trainer.step) => {
                 let step = trainer.step;
-                let waited = now.since(since);
-                trainer.totals.idle += waited;
-                trainer.totals.waits.push(waited.as_secs_f64());
                 trainer.phase = Phase::Training(now + trainer.config.training_time);
                 let (id, slots) = (trainer.id(step), trainer.slots());
                 self.oracle.check_complete(now, &id, slots);
             }
             Phase::Training(until) if now >= until => {
-                trainer.totals.steps += 1;
                 trainer.phase = Phase::Publishing;
-                if !periodic {
-                    trainer.wanted = trainer.newest + 1;
-                }
+                trainer.wanted = trainer.newest + 1;
                 self.trainer_calls(index, CallKind::Close);
             }
-            Phase::Publishing if trainer.wanted <= trainer.newest || periodic => {
-                trainer.totals.total = now.since(Timestamp::ZERO);
+            Phase::Publishing if trainer.wanted <= trainer.newest => {
                 trainer.step += 1;
                 trainer.phase = if trainer.step > trainer.config.steps {
                     Phase::Done
                 } else {
-                    Phase::Collecting(now)
+                    Phase::Collecting
                 };
             }
             _ => {}
@@ -260,10 +196,7 @@
         let model = ModelName::new(&trainer.config.name);
         let body = match &kind {
             CallKind::Open(step) => {
-                let open = trainer.steps.entry(*step).or_insert(OpenStep {
-                    opened_at: now,
-                    ..OpenStep::default()
-                });
+                let open = trainer.steps.entry(*step).or_default();
                 open.is_open = false;
                 Some(StepRequest::Open {
                     newest_version: WeightVersion(newest),
@@ -307,7 +240,6 @@
     }
 
     pub(crate) fn trainer_answered(&mut self, index: usize, number: u64, reply: Option<Reply>) {
-        let now = self.now;
         let trainer = &mut self.trainers[index];
         let Some(call) = trainer.calls.remove(&number) else {
             return;
@@ -335,9 +267,6 @@
                 let exists = matches!(reply, WriteReply::Accepted(_) | WriteReply::Conflict);
                 if exists && version > trainer.newest {
                     trainer.newest = version;
-                    trainer.published_at.insert(version, now);
-                    self.newest_published
-                        .insert(ModelName::new(&trainer.config.name), (version, now));
                 }
             }
             _ => {}
@@ -354,52 +283,32 @@
     ) {
         let now = self.now;
         let lengths = self.config.engine.lengths;
-        let proof = self.config.proof;
         let trainer = &mut self.trainers[index];
         let id = trainer.id(step);
         for sample in samples {
-            trainer.totals.samples += 1;
-            trainer.totals.tokens += total_tokens(&sample.spans);
             self.oracle.check_once(now, &id, sample.slot);
             let oldest = sample.oldest_version().unwrap_or_default();
             let newest_version = WeightVersion(newest);
             let bound = trainer.config.max_staleness;
             self.oracle
                 .check_staleness(now, oldest, newest_version, bound);
-            let behind = oldest.behind(newest_version);
-            *trainer.totals.staleness_versions.entry(behind).or_default() += 1;
-            let superseded = trainer.published_at.get(&(oldest.0 + 1));
-            let seconds = superseded.map_or(0.0, |at| now.since(*at).as_secs_f64());
-            trainer.totals.staleness_seconds.push(seconds);
-            if proof {
-                let slot = sample.slot;
-                let sample_id = SampleId {
-                    step: id.clone(),
-                    slot,
-                };
-                let seed = stable_hash(&[sample_id.to_string().as_bytes()]);
-                let (truth, is_own) = read_proof(&sample.text, seed);
-                self.oracle.check_versions(now, &sample.spans, &truth);
-                let prompt = (slot / trainer.config.samples_per_prompt) as usize;
-                let prompt = &trainer.prompts[prompt].text;
-                let wanted = answer_length(&lengths, prompt, seed, trainer.config.max_tokens);
-                let got = total_tokens(&sample.spans);
-                self.oracle.check_whole(now, got, u64::from(wanted), is_own);
-            }
+            let slot = sample.slot;
+            let sample_id = SampleId {
+                step: id.clone(),
+                slot,
+            };
+            let seed = stable_hash(&[sample_id.to_string().as_bytes()]);
+            let (truth, is_own) = read_proof(&sample.text, seed);
+            self.oracle.check_versions(now, &sample.spans, &truth);
+            let prompt = (slot / trainer.config.samples_per_prompt) as usize;
+            let prompt = &trainer.prompts[prompt].text;
+            let wanted = answer_length(&lengths, prompt, seed, trainer.config.max_tokens);
+            let got = total_tokens(&sample.spans);
+            self.oracle.check_whole(now, got, u64::from(wanted), is_own);
         }
-        let slots = trainer.slots();
-        let before = trainer.steps.get(&step.wrapping_sub(1));
-        let before = before.and_then(|before| before.completed_at);
         if let Some(open) = trainer.steps.get_mut(&step) {
             open.cursor = cursor;
-            let was_complete = open.held >= slots;
             open.held += samples.len() as u32;
-            if open.held >= slots && !was_complete {
-                open.completed_at = Some(now);
-                let begun = before.map_or(open.opened_at, |before| before.max(open.opened_at));
-                let makespan = now.since(begun).as_secs_f64();
-                trainer.totals.makespans.push(makespan);
-            }
         }
     }
 }
--- a/standalone/simulation/src/world.rs
+++ b/standalone/simulation/src/world.rs
@@ -10,7 +10,6 @@
 use crate::config::WorldConfig;
 use crate::engines::SimEngine;
 use crate::faults::Fault;
-use crate::meter::Meter;
 use crate::network::Network;
 use crate::operators::Operators;
 use crate::oracle::Oracle;
@@ -19,7 +18,7 @@
 use crate::trainers::SimTrainer;
 use brasspond_control::{Action, AttemptId, Control, Event, Reply, RequestId, StoreCall};
 use brasspond_engine_api::{AttemptUpdate, EngineCall};
-use brasspond_protocol::{Envelope, KEY_BYTES, Sealer};
+use brasspond_protocol::Envelope;
 use brasspond_resource::{Catalogue, Metadata, Object, Spec, WeightVersionSpec};
 use brasspond_rollout::Partial;
 use brasspond_types::{EngineName, GroupName, ModelName, NodeName, Timestamp, WeightVersion};
@@ -28,7 +27,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Time until the platform's list shows what happened to a machine.
 const LIST_LAG: Duration = Duration::from_secs(1);
@@ -78,7 +77,6 @@
     pub(crate) has_disk: bool,
     pub(crate) disk: Option<Arc<Catalogue>>,
     pub(crate) attempt_requests: BTreeMap<AttemptId, RequestId>,
-    pub(crate) meter: Meter,
     incarnation: u64,
     draining: bool,
 }
@@ -117,8 +115,6 @@
     pub(crate) callers: Callers,
     pub(crate) operators: Operators,
     pub(crate) oracle: Oracle,
-    pub(crate) sealer: Option<Sealer>,
-    pub(crate) newest_published: BTreeMap<ModelName, (u64, Timestamp)>,
     swap_failure: f64,
     observer: Option<Observer>,
 }
@@ -167,10 +163,6 @@
             callers: Callers::default(),
             operators: Operators::default(),
             oracle: Oracle::default(),
-            sealer: config
-                .count_bytes
-                .then(|| Sealer::new(vec![[7; KEY_BYTES]])),
-            newest_published: BTreeMap::new(),
             swap_failure: config.engine.swap_failure,
             observer: None,
             config,
@@ -192,50 +184,13 @@
         self.now
     }
 
-    /// Meters of the nodes.
-    pub fn meters(&self) -> Vec<&Meter> {
-        self.nodes.iter().map(|node| &node.meter).collect()
-    }
-
-    /// Lists and watches the store served.
-    pub fn store_reads(&self) -> u64 {
-        self.platform.reads
-    }
-
-    /// The nodes' decisions, of those that run.
-    pub fn controls(&self) -> Vec<&Control> {
-        self.nodes.iter().filter_map(SimNode::control).collect()
-    }
-
-    /// Revision of the store.
-    pub fn store_revision(&self) -> brasspond_resource::Revision {
-        self.platform.store.revision()
-    }
-
-    /// Starts the meters anew.
-    pub fn reset_meters(&mut self) {
-        for node in &mut self.nodes {
-            node.meter = Meter::default();
-        }
-    }
-
     /// Writes a resource as the platform or an operator would, at once.
-    pub fn write_directly(&mut self, object: Object) {
+    pub(crate) fn write_directly(&mut self, object: Object) {
         if self.platform.store.put(object, None).is_ok() {
             self.store_changed();
         }
     }
 
-    /// Publishes a version of a model, at once.
-    pub fn publish(&mut self, model: &ModelName, version: u64) {
-        self.write_directly(weight_object(model, version));
-    }
-
-    /// Kills a node's process for good.
-    pub fn kill_node(&mut self, index: usize) {
-        self.crash_node(index);
-    }
-
     pub(crate) fn draw(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.random.random_bool(probability)
     }
@@ -333,17 +288,11 @@
             return;
         }
         self.note_answer(index, instance, &event);
-        let measure = self.config.measure_time;
         let node = &mut self.nodes[index];
         let Some(control) = &mut node.control else {
             return;
         };
-        let begun = measure.then(Instant::now);
         let actions = control.handle(event, self.now);
-        if let Some(begun) = begun {
-            node.meter.busy += begun.elapsed();
-        }
-        node.meter.events += 1;
         let ready = control.is_ready().then(|| control.revision());
         if let Some(revision) = ready {
             self.oracle.check_revision(self.now, index, revision);
@@ -372,7 +321,7 @@
     }
 
     /// Checks that all nodes have the store's newest configuration in force.
-    pub fn check_everywhere(&mut self) {
+    pub(crate) fn check_everywhere(&mut self) {
         let wanted = self.platform.store.catalogue().clone();
         for (index, node) in self.nodes.iter().enumerate() {
             let Some(control) = node.control() else {
@@ -386,7 +335,7 @@
     }
 
     /// Checks that every trainer has every sample of every step.
-    pub fn check_all_delivered(&mut self) {
+    pub(crate) fn check_all_delivered(&mut self) {
         for group in self.config.groups.clone() {
             for step in 1..=group.steps {
                 let id = brasspond_types::StepId {
--- a/standalone/simulation/src/world/build.rs
+++ b/standalone/simulation/src/world/build.rs
@@ -2,7 +2,6 @@
 
 use super::{Happening, SimNode, World, address, named, weight_object};
 use crate::engines::SimEngine;
-use crate::meter::Meter;
 use brasspond_control::Control;
 use brasspond_emulator::{Engine, WeightStore};
 use brasspond_membership::{Instance, Member, MemberState};
@@ -94,7 +93,6 @@
                 has_disk: index < 2,
                 disk: None,
                 attempt_requests: BTreeMap::new(),
-                meter: Meter::default(),
                 incarnation: 0,
                 draining: false,
             });
@@ -102,22 +100,6 @@
         for index in 0..self.config.nodes {
             self.start_node(index);
         }
-        if self.config.preloaded {
-            self.preload();
-        }
-    }
-
-    /// Lets every node know all others and the configuration.
-    pub(super) fn preload(&mut self) {
-        let members: Vec<Member> = (0..self.nodes.len())
-            .map(|index| self.member(index))
-            .collect();
-        let catalogue = self.platform.store.catalogue().clone();
-        for node in &mut self.nodes {
-            if let Some(control) = &mut node.control {
-                control.preload(&members, catalogue.clone(), Timestamp::ZERO);
-            }
-        }
     }
 
     pub(super) fn member(&self, index: usize) -> Member {
--- a/standalone/simulation/src/world/disturb.rs
+++ b/standalone/simulation/src/world/disturb.rs
@@ -168,7 +168,7 @@
         }
         let seed = self.random.random();
         let fresh = self.new_engine(index, seed);
-        self.engines[index].replace(fresh);
+        self.engines[index].engine = fresh;
         self.engines[index].up = true;
         self.engines[index].leaving_since = None;
         let listed = Happening::MachineListed(index, Some(false));
--- a/standalone/standin/src/engine.rs
+++ b/standalone/standin/src/engine.rs
@@ -62,8 +62,6 @@
     pub prompt: Arc<str>,
     /// Versions that truly made the tokens, in order, of this engine only.
     pub spans: Vec<VersionSpan>,
-    /// When it began, since the start of the engine.
-    pub began: Duration,
     /// Whether the answer was made to its end.
     pub finished: bool,
 }
@@ -80,7 +78,6 @@
     records: BTreeMap<u64, EngineRecord>,
     uploads: WeightStore,
     next: u64,
-    leaving_since: Option<Duration>,
     crashed: bool,
 }
 
@@ -132,7 +129,6 @@
                 records: BTreeMap::new(),
                 uploads,
                 next: 1,
-                leaving_since: None,
                 crashed: false,
             }),
             settings,
@@ -154,27 +150,11 @@
     /// Announces a planned stop.
     pub fn leave(&self) {
         let now = self.now();
-        let since = self.started.elapsed();
         self.locked(|state| {
             state.engine.leave(now);
-            state.leaving_since = Some(since);
         });
     }
 
-    /// Requests begun more than `grace` after the stop was announced.
-    pub fn begun_after_leaving(&self, grace: Duration) -> usize {
-        self.locked(|state| {
-            let Some(leaving) = state.leaving_since else {
-                return 0;
-            };
-            let late = state
-                .records
-                .values()
-                .filter(|record| record.began > leaving + grace);
-            late.count()
-        })
-    }
-
     fn locked<T>(&self, look: impl FnOnce(&mut State) -> T) -> T {
         look(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -312,7 +292,6 @@
         };
         let (chunks, response_body) = channel_body(CHUNKS_BUFFERED);
         let now = self.now();
-        let began = self.started.elapsed();
         let submitted = self.locked(|state| {
             let id = state.next;
             state.next += 1;
@@ -327,7 +306,6 @@
             let record = EngineRecord {
                 prompt,
                 spans,
-                began,
                 finished: false,
             };
             state.records.insert(id, record);
--- a/standalone/standin/src/store.rs
+++ b/standalone/standin/src/store.rs
@@ -32,9 +32,8 @@
 pub struct StoreServer {
     store: Mutex<ObjectStore>,
     changed: Notify,
-    faults: Mutex<FaultSchedule>,
+    faults: FaultSchedule,
     started: Instant,
-    reads: std::sync::atomic::AtomicU64,
 }
 
 impl StoreServer {
@@ -43,27 +42,11 @@
         Arc::new(Self {
             store: Mutex::new(ObjectStore::default()),
             changed: Notify::new(),
-            faults: Mutex::new(faults),
+            faults,
             started: Instant::now(),
-            reads: std::sync::atomic::AtomicU64::new(0),
         })
     }
 
-    /// Replaces the fault schedule; times still count from the start.
-    pub fn set_faults(&self, faults: FaultSchedule) {
-        *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
-    }
-
-    /// Time since the start, which fault schedules count from.
-    pub fn elapsed(&self) -> Duration {
-        self.started.elapsed()
-    }
-
-    /// Lists and watches served.
-    pub fn reads(&self) -> u64 {
-        self.reads.load(std::sync::atomic::Ordering::Relaxed)
-    }
-
     /// Writes an object directly, as the platform itself does for its list of
     /// machines.
     pub fn put(&self, object: Object) -> Revision {
@@ -93,8 +76,7 @@
     }
 
     fn is_on(&self, kind: FaultKind) -> bool {
-        let faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        faults.is_on(kind, self.started.elapsed())
+        self.faults.is_on(kind, self.started.elapsed())
     }
 
     async fn handle(&self, request: Request) -> Response {
@@ -177,8 +159,6 @@
     }
 
     async fn read_all(&self, query: &str) -> Response {
-        self.reads
-            .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         if !query.contains("watch=true") {
             let list = self.locked(|store| {
                 let items: Vec<Value> = store.catalogue().iter().map(object_to_json).collect();
