--- a/crates/brasspond/src/demo.rs
+++ b/crates/brasspond/src/demo.rs
@@ -31,8 +31,8 @@
     };
     println!("{}", report.summary());
     if let Some(file) = &options.report {
-        let text = serde_json::to_string_pretty(&report).unwrap_or_default();
-        if let Err(error) = std::fs::write(file, text) {
+        let text = serde_json::to_string_pretty(&report).map_err(std::io::Error::from);
+        if let Err(error) = text.and_then(|text| std::fs::write(file, text)) {
             eprintln!("{}: {error}", file.display());
             return Outcome::Failed;
         }
--- a/crates/brasspond/src/emulate.rs
+++ b/crates/brasspond/src/emulate.rs
@@ -2,7 +2,7 @@
 
 use crate::exit::Outcome;
 use crate::logging;
-use crate::options::EmulateOptions;
+use crate::options::{EmulateOptions, EngineOptions};
 use brasspond_emulator::{EngineParameters, LengthDistribution};
 use brasspond_resource::parse_manifests;
 use brasspond_standin::{
@@ -12,13 +12,27 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Runs a stand-in until SIGTERM or SIGINT.
+/// Transfers to other engines at a time that an emulated engine serves; not measured.
+const UPLOAD_SLOTS: usize = 4;
+/// Time of a transfer of weights between two emulated engines; not measured.
+const UPLOAD_TIME: Duration = Duration::from_millis(300);
+/// Time between two moments at which an emulated engine sends what it generated: about one
+/// decoding step (8 ms, `EngineParameters::default`).
+const ENGINE_TICK: Duration = Duration::from_millis(10);
+
+/// What prevents a stand-in from running, a line each.
+type Problems = Vec<String>;
+
+/// Runs a stand-in until SIGINT.
 pub(crate) fn run(options: EmulateOptions) -> Outcome {
-    let _ = logging::start("info", None);
+    if let Err(error) = logging::start("info", None) {
+        eprintln!("cannot log: {error}");
+    }
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
@@ -37,10 +51,12 @@
     }
 }
 
-async fn serve(options: EmulateOptions) -> Result<(), Vec<String>> {
+async fn serve(options: EmulateOptions) -> Result<(), Problems> {
     let (stop, stopped) = watch::channel(false);
     tokio::spawn(async move {
+        // Without a handler the system ends the process at the signal: that stops it as well.
         let _ = tokio::signal::ctrl_c().await;
+        // Nobody listens any more: the server has stopped already.
         let _ = stop.send(true);
     });
     match options {
@@ -49,19 +65,7 @@
             load,
             faults,
         } => {
-            let server = StoreServer::new(schedule(faults)?);
-            for file in load {
-                let name = file.display().to_string();
-                let text = std::fs::read_to_string(&file)
-                    .map_err(|error| vec![format!("{name}: {error}")])?;
-                let objects = parse_manifests(&name, &text);
-                let objects = objects.map_err(|findings| {
-                    findings.iter().map(ToString::to_string).collect::<Vec<_>>()
-                })?;
-                for object in objects {
-                    server.put(object);
-                }
-            }
+            let server = store(&load, faults)?;
             server.run(bind(listen).await?, stopped).await;
         }
         EmulateOptions::Weights {
@@ -70,43 +74,13 @@
             transfer_milliseconds,
         } => {
             let transfer = Duration::from_millis(transfer_milliseconds);
-            WeightServer::new(slots, transfer)
-                .run(bind(listen).await?, stopped)
-                .await;
+            let server = WeightServer::new(slots, transfer);
+            server.run(bind(listen).await?, stopped).await;
         }
-        EmulateOptions::Engine {
-            name,
-            listen,
-            weights,
-            model,
-            max_running,
-            median_tokens,
-            seed,
-            faults,
-        } => {
-            let lengths = LengthDistribution {
-                median: median_tokens,
-                ..LengthDistribution::default()
-            };
-            let parameters = EngineParameters {
-                max_running,
-                lengths,
-                ..EngineParameters::default()
-            };
-            let settings = EngineSettings {
-                name: EngineName::new(&name),
-                parameters,
-                seed,
-                models: models(&model)?,
-                weight_store: weights,
-                upload_slots: 4,
-                upload_time: Duration::from_millis(300),
-                tick: Duration::from_millis(10),
-                faults: schedule(faults)?,
-            };
-            EngineServer::new(settings)
-                .run(bind(listen).await?, stopped)
-                .await;
+        EmulateOptions::Engine(options) => {
+            let listen = options.listen;
+            let server = EngineServer::new(engine_settings(options)?);
+            server.run(bind(listen).await?, stopped).await;
         }
         EmulateOptions::Service {
             name,
@@ -114,15 +88,55 @@
             latency_milliseconds,
         } => {
             let latency = Duration::from_millis(latency_milliseconds);
-            ServiceServer::new(&name, latency)
-                .run(bind(listen).await?, stopped)
-                .await;
+            let server = ServiceServer::new(&name, latency);
+            server.run(bind(listen).await?, stopped).await;
         }
     }
     Ok(())
 }
 
-async fn bind(address: SocketAddr) -> Result<TcpListener, Vec<String>> {
+/// A store that holds the objects of some manifests.
+fn store(manifests: &[PathBuf], faults: Option<PathBuf>) -> Result<Arc<StoreServer>, Problems> {
+    let server = StoreServer::new(schedule(faults)?);
+    for file in manifests {
+        let name = file.display().to_string();
+        let text =
+            std::fs::read_to_string(file).map_err(|error| vec![format!("{name}: {error}")])?;
+        let objects = parse_manifests(&name, &text).map_err(|findings| {
+            let lines = findings.iter().map(ToString::to_string);
+            lines.collect::<Problems>()
+        })?;
+        for object in objects {
+            server.put(object);
+        }
+    }
+    Ok(server)
+}
+
+fn engine_settings(options: EngineOptions) -> Result<EngineSettings, Problems> {
+    let lengths = LengthDistribution {
+        median: options.median_tokens,
+        ..LengthDistribution::default()
+    };
+    let parameters = EngineParameters {
+        max_running: options.max_running,
+        lengths,
+        ..EngineParameters::default()
+    };
+    Ok(EngineSettings {
+        name: EngineName::new(&options.name),
+        parameters,
+        seed: options.seed,
+        models: models(&options.model)?,
+        weight_store: options.weights,
+        upload_slots: UPLOAD_SLOTS,
+        upload_time: UPLOAD_TIME,
+        tick: ENGINE_TICK,
+        faults: schedule(options.faults)?,
+    })
+}
+
+async fn bind(address: SocketAddr) -> Result<TcpListener, Problems> {
     let listener = TcpListener::bind(address).await;
     let listener = listener.map_err(|error| vec![format!("{address}: {error}")])?;
     if let Ok(address) = listener.local_addr() {
@@ -131,7 +145,7 @@
     Ok(listener)
 }
 
-fn schedule(file: Option<PathBuf>) -> Result<FaultSchedule, Vec<String>> {
+fn schedule(file: Option<PathBuf>) -> Result<FaultSchedule, Problems> {
     let Some(file) = file else {
         return Ok(FaultSchedule::default());
     };
@@ -140,7 +154,7 @@
     toml::from_str(&text).map_err(|error| vec![format!("{name}: {error}")])
 }
 
-fn models(pairs: &[String]) -> Result<BTreeMap<ModelName, WeightVersion>, Vec<String>> {
+fn models(pairs: &[String]) -> Result<BTreeMap<ModelName, WeightVersion>, Problems> {
     let parsed = pairs.iter().map(|pair| {
         let (model, version) = pair.split_once('=')?;
         Some((ModelName::new(model), WeightVersion(version.parse().ok()?)))
--- a/crates/brasspond/src/fuzz.rs
+++ b/crates/brasspond/src/fuzz.rs
@@ -3,83 +3,46 @@
 use crate::exit::Outcome;
 use crate::options::FuzzOptions;
 use brasspond_simulation::{FaultKind, FuzzFailure, FuzzOptions as Options, run_seed, shrink};
-use std::sync::Mutex;
-use std::sync::PoisonError;
+use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 /// Time between two lines of progress.
 const PROGRESS: Duration = Duration::from_secs(5);
-/// Failures after which the run ends.
+/// Time between two checks whether the run has ended.
+const PROGRESS_CHECK: Duration = Duration::from_millis(20);
+/// Failures after which the run ends: more seldom say more than three, and each is shrunk.
 const MOST_FAILURES: usize = 3;
-/// Violations shown of one failure.
+/// Violations shown of one failure: later ones mostly follow from the first.
 const VIOLATIONS_SHOWN: usize = 3;
 
 /// Runs all seeds; fine only if no guarantee was broken.
 pub(crate) fn run(options: &FuzzOptions) -> Outcome {
-    let mut kinds = Vec::new();
-    for name in &options.fault {
-        match FaultKind::find(name) {
-            Some(kind) => kinds.push(kind),
-            None => {
-                let names: Vec<String> = FaultKind::ALL.iter().map(ToString::to_string).collect();
-                eprintln!("--fault: no kind {name}; allowed: {}", names.join(", "));
-                return Outcome::Usage;
-            }
+    let kinds = match fault_kinds(&options.fault) {
+        Ok(kinds) => kinds,
+        Err(problem) => {
+            eprintln!("{problem}");
+            return Outcome::Usage;
         }
-    }
-    let mut fuzz = Options {
+    };
+    let fuzz = Options {
         steps: options.steps,
         pairs: options.pairs,
+        kinds,
         ..Options::default()
     };
-    if !kinds.is_empty() {
-        fuzz.kinds = kinds;
-    }
     let begun = Instant::now();
-    let next = AtomicU64::new(options.seeds.0.start);
-    let done = AtomicU64::new(0);
-    let failures: Mutex<Vec<FuzzFailure>> = Mutex::default();
-    let count = || {
-        failures
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .len()
-    };
+    let campaign = Campaign::new(options.seeds.0.clone(), fuzz);
     std::thread::scope(|scope| {
         for _ in 0..options.threads.max(1) {
-            scope.spawn(|| {
-                loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= options.seeds.0.end || count() >= MOST_FAILURES {
-                        return;
-                    }
-                    if let Err(failure) = run_seed(seed, &fuzz) {
-                        let failure = shrink(&failure, &fuzz);
-                        failures
-                            .lock()
-                            .unwrap_or_else(PoisonError::into_inner)
-                            .push(failure);
-                    }
-                    done.fetch_add(1, Ordering::Relaxed);
-                }
-            });
-        }
-        let all = options.seeds.0.end - options.seeds.0.start;
-        let mut shown = Instant::now();
-        while done.load(Ordering::Relaxed) < all && count() < MOST_FAILURES {
-            std::thread::sleep(Duration::from_millis(20));
-            if shown.elapsed() >= PROGRESS {
-                shown = Instant::now();
-                println!("{} seeds", done.load(Ordering::Relaxed));
-            }
+            scope.spawn(|| campaign.play());
         }
+        campaign.print_progress();
     });
-    let seeds = done.load(Ordering::Relaxed);
+    let seeds = campaign.done.load(Ordering::Relaxed);
     let rate = seeds as f64 / begun.elapsed().as_secs_f64();
-    let failures = failures
-        .into_inner()
-        .unwrap_or_else(PoisonError::into_inner);
+    let failures = campaign.into_failures();
     for failure in &failures {
         show(failure);
     }
@@ -94,6 +57,83 @@
     }
 }
 
+/// The kinds of faults named; all where none is.
+fn fault_kinds(names: &[String]) -> Result<Vec<FaultKind>, String> {
+    if names.is_empty() {
+        return Ok(FaultKind::ALL.to_vec());
+    }
+    let find = |name: &String| {
+        FaultKind::find(name).ok_or_else(|| {
+            let allowed: Vec<String> = FaultKind::ALL.iter().map(ToString::to_string).collect();
+            format!("--fault: no kind {name}; allowed: {}", allowed.join(", "))
+        })
+    };
+    names.iter().map(find).collect()
+}
+
+/// Seeds that some threads play.
+struct Campaign {
+    seeds: Range<u64>,
+    options: Options,
+    next: AtomicU64,
+    done: AtomicU64,
+    failures: Mutex<Vec<FuzzFailure>>,
+}
+
+impl Campaign {
+    fn new(seeds: Range<u64>, options: Options) -> Self {
+        Self {
+            next: AtomicU64::new(seeds.start),
+            seeds,
+            options,
+            done: AtomicU64::new(0),
+            failures: Mutex::default(),
+        }
+    }
+
+    /// Plays seeds until none is left or enough failed.
+    fn play(&self) {
+        loop {
+            let seed = self.next.fetch_add(1, Ordering::Relaxed);
+            if seed >= self.seeds.end || self.failed() >= MOST_FAILURES {
+                return;
+            }
+            if let Err(failure) = run_seed(seed, &self.options) {
+                let failure = shrink(&failure, &self.options);
+                self.lock_failures().push(failure);
+            }
+            self.done.fetch_add(1, Ordering::Relaxed);
+        }
+    }
+
+    /// Prints the number of seeds played now and then, until the end.
+    fn print_progress(&self) {
+        let all = self.seeds.end - self.seeds.start;
+        let mut shown = Instant::now();
+        while self.done.load(Ordering::Relaxed) < all && self.failed() < MOST_FAILURES {
+            std::thread::sleep(PROGRESS_CHECK);
+            if shown.elapsed() >= PROGRESS {
+                shown = Instant::now();
+                println!("{} seeds", self.done.load(Ordering::Relaxed));
+            }
+        }
+    }
+
+    fn failed(&self) -> usize {
+        self.lock_failures().len()
+    }
+
+    fn lock_failures(&self) -> MutexGuard<'_, Vec<FuzzFailure>> {
+        self.failures.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn into_failures(self) -> Vec<FuzzFailure> {
+        self.failures
+            .into_inner()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
 fn show(failure: &FuzzFailure) {
     let what = if failure.out_of_time && failure.violations.is_empty() {
         "ran out of time; no guarantee was broken; its faults"
--- a/crates/brasspond/src/options.rs
+++ b/crates/brasspond/src/options.rs
@@ -180,6 +180,35 @@
     pub(crate) log_level: String,
 }
 
+// Settings of an emulated model engine: a doc comment would become a line of its help.
+#[derive(Clone, Debug, Bpaf)]
+pub(crate) struct EngineOptions {
+    /// Unique name
+    #[bpaf(argument("NAME"))]
+    pub(crate) name: String,
+    /// Address to listen on
+    #[bpaf(argument("ADDRESS"))]
+    pub(crate) listen: SocketAddr,
+    /// Address of the weight store
+    #[bpaf(argument("ADDRESS"))]
+    pub(crate) weights: SocketAddr,
+    /// Model and version served at the start; may be given several times
+    #[bpaf(argument("MODEL=VERSION"), many)]
+    pub(crate) model: Vec<String>,
+    /// Largest batch
+    #[bpaf(argument("N"), fallback(16))]
+    pub(crate) max_running: u32,
+    /// Median length of answers, in tokens
+    #[bpaf(argument("N"), fallback(110.0))]
+    pub(crate) median_tokens: f64,
+    /// Seed of its failures
+    #[bpaf(argument("N"), fallback(1))]
+    pub(crate) seed: u64,
+    /// Fault schedule
+    #[bpaf(argument("FILE"), optional)]
+    pub(crate) faults: Option<PathBuf>,
+}
+
 /// Stand-ins as processes of their own.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum EmulateOptions {
@@ -218,32 +247,7 @@
     /// Example: brasspond emulate engine --name engine-0 --listen 127.0.0.1:9000
     ///   --weights 127.0.0.1:7001 --model blurbs=1
     #[bpaf(command)]
-    Engine {
-        /// Unique name
-        #[bpaf(argument("NAME"))]
-        name: String,
-        /// Address to listen on
-        #[bpaf(argument("ADDRESS"))]
-        listen: SocketAddr,
-        /// Address of the weight store
-        #[bpaf(argument("ADDRESS"))]
-        weights: SocketAddr,
-        /// Model and version served at the start; may be given several times
-        #[bpaf(argument("MODEL=VERSION"), many)]
-        model: Vec<String>,
-        /// Largest batch
-        #[bpaf(argument("N"), fallback(16))]
-        max_running: u32,
-        /// Median length of answers, in tokens
-        #[bpaf(argument("N"), fallback(110.0))]
-        median_tokens: f64,
-        /// Seed of its failures
-        #[bpaf(argument("N"), fallback(1))]
-        seed: u64,
-        /// Fault schedule
-        #[bpaf(argument("FILE"), optional)]
-        faults: Option<PathBuf>,
-    },
+    Engine(#[bpaf(external(engine_options))] EngineOptions),
     /// A replica of a plain HTTP service
     ///
     /// Example: brasspond emulate service --name lending-0 --listen 127.0.0.1:9100
