--- a/crates/autoscaling/src/autoscaler.rs
+++ b/crates/autoscaling/src/autoscaler.rs
@@ -1,104 +1,104 @@
-//! The autoscaler of a leader.
+//! The autoscaler of a leader: when it orders how many replicas.
+//!
+//! Owns the peaks of load and what was ordered last. Relies on the view for what there is.
 
 use crate::peak::Peak;
+use crate::zones::{Present, replicas_by_zone, spread};
 use brasspond_fleet::{FleetView, Scaling, Service};
 use brasspond_units::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Places a service is to have for each request that was there at the peak: runs on
-/// replicas that are not full are faster, and some replicas load weights meanwhile.
+/// Places that a service is to have for each request at the peak: runs are faster on replicas that
+/// are not full, and some replicas load weights meanwhile. Played in
+/// docs/design/0017-shifted-work.md.
 const HEADROOM: f64 = 1.25;
-/// Pause between two orders of one kind for one zone, beside the time to boot, in ms:
-/// what was ordered must be seen before it is ordered again.
+/// Pause after an order for a zone, beyond the time to boot, in ms: the ordered replicas have to be
+/// in the view before the next order. Not measured.
 const SEEN_TIME: Millis = 2_000;
-/// Time for which none are ordered where none were to be had, in ms.
-const NONE_PAUSE: Millis = 4_000;
-/// Pause after an order that was refused or not answered, in ms.
-const RETRY_PAUSE: Millis = 700;
-/// Time after the end of an evacuation in which no zone is ordered fewer replicas, beside the
-/// time for which replicas warm up, in ms: those that come back must be seen to serve before
-/// those that stood in for them go.
+/// Pause after an order for a zone that had no replicas left, in ms. Not measured.
+const NONE_LEFT_PAUSE: Millis = 4_000;
+/// Pause after an order that was refused or not answered, in ms. Not measured.
+const UNANSWERED_PAUSE: Millis = 700;
+/// Time after the end of an evacuation, beyond the warm-up period, in which no zone is ordered
+/// fewer replicas, in ms: replicas of the zone have to serve again before those go that replaced
+/// them. Not measured.
 const RETURN_TIME: Millis = 10_000;
-/// Replicas fewer that are wanted before any are given back: work comes in waves.
-const SURPLUS: u32 = 2;
+/// Surplus of a zone, in replicas, that is kept: load varies from wave to wave, and what is given
+/// back must boot again. Not measured.
+const KEPT_SURPLUS: u32 = 2;
 
-/// An order: so many replicas of a kind there are to be.
+/// An order: how many replicas of one kind a service is to have in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScaleOrder {
     /// The service.
     pub service: Arc<str>,
     /// The zone.
     pub zone: Arc<str>,
-    /// Spot replicas, else ordinary ones.
+    /// Whether spot replicas are ordered, or ordinary ones.
     pub is_spot: bool,
-    /// How many.
+    /// How many there are to be, those that exist included.
     pub count: u32,
 }
 
-/// What came of an order.
+/// What the platform answered to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScaleAnswer {
     /// It is being done.
     Taken,
-    /// None are to be had there now.
+    /// The platform has no replicas of the kind there now.
     NoneLeft,
-    /// It was refused, or nothing is known of it.
+    /// It was refused, or it is uncertain whether it is being done.
     Again,
 }
 
 /// A service, a zone, and whether spot replicas are meant.
 type Kind = (Arc<str>, Arc<str>, bool);
 
-/// What was last ordered of a kind.
+/// The last order of a kind.
 #[derive(Clone, Debug, Default)]
 struct Ordered {
+    /// None: no order, or none that is being done.
     count: Option<u32>,
     /// No order before this time.
     not_before: Millis,
 }
 
-/// How many replicas of each kind a zone has that are not about to leave.
-#[derive(Clone, Copy, Debug, Default)]
-struct Present {
-    ordinary: u32,
-    spot: u32,
-}
-
-/// Decides for all services that scale. All of it may be lost: a new leader sees in the
+/// Decides for all services that scale. It may be lost with the leader: the next one sees in the
 /// view what there is.
 #[derive(Debug, Default)]
 pub struct Autoscaler {
     peaks: BTreeMap<Arc<str>, Peak>,
     ordered: BTreeMap<Kind, Ordered>,
+    /// Evacuated zones at the last plan.
     evacuated: Arc<BTreeSet<Arc<str>>>,
-    /// When the last evacuation ended; none: none was seen to end.
+    /// When an evacuation last ended; none: none was seen to end.
     returned_at: Option<Millis>,
 }
 
 impl Autoscaler {
-    /// Requests of a service that run or wait at present.
+    /// Records how many requests of a service run or wait at `now`.
     pub fn note_load(&mut self, service: &str, requests: usize, now: Millis) {
         match self.peaks.get_mut(service) {
-            Some(peak) => peak.note(requests, now),
+            Some(peak) => peak.record(requests, now),
             None => {
                 let mut peak = Peak::default();
-                peak.note(requests, now);
+                peak.record(requests, now);
                 self.peaks.insert(service.into(), peak);
             }
         }
     }
 
-    /// Orders that are due.
+    /// Orders that are due at `now`. None without a configuration, and none before it is known
+    /// which zones are evacuated: an order might go to one of them.
     pub fn plan(&mut self, view: &FleetView, now: Millis) -> Vec<ScaleOrder> {
         let Some(configuration) = &view.configuration else {
             return Vec::new();
         };
-        // An order might go to an evacuated zone.
         if !view.knows_evacuated() {
             return Vec::new();
         }
-        self.note_evacuated(view, now);
+        self.record_evacuated(view, now);
         let mut orders = Vec::new();
         for service in &configuration.services {
             if let Some(scaling) = &service.scaling {
@@ -108,14 +108,15 @@
         orders
     }
 
-    fn note_evacuated(&mut self, view: &FleetView, now: Millis) {
+    /// Records which zones are evacuated, and when that last ended for one.
+    fn record_evacuated(&mut self, view: &FleetView, now: Millis) {
         if self.evacuated.difference(&view.evacuated).next().is_some() {
             self.returned_at = Some(now);
         }
         self.evacuated = Arc::clone(&view.evacuated);
     }
 
-    /// Whether replicas that came back from an evacuation may still be warming up.
+    /// Whether replicas of a zone that was evacuated may still be warming up.
     fn is_returning(&self, service: &Service, now: Millis) -> bool {
         let warm_up = service.warm_up.as_ref();
         let warming = warm_up.map_or(0, |warm_up| warm_up.time_ms);
@@ -123,7 +124,7 @@
             .is_some_and(|at| now < at + RETURN_TIME + warming)
     }
 
-    /// An order was answered, or not.
+    /// Accepts the answer to an order.
     pub fn answered(&mut self, order: &ScaleOrder, answer: ScaleAnswer, now: Millis) {
         let kind = (order.service.clone(), order.zone.clone(), order.is_spot);
         let ordered = self.ordered.entry(kind).or_default();
@@ -131,15 +132,16 @@
             ScaleAnswer::Taken => {}
             ScaleAnswer::NoneLeft => {
                 ordered.count = None;
-                ordered.not_before = now + NONE_PAUSE;
+                ordered.not_before = now + NONE_LEFT_PAUSE;
             }
             ScaleAnswer::Again => {
                 ordered.count = None;
-                ordered.not_before = now + RETRY_PAUSE;
+                ordered.not_before = now + UNANSWERED_PAUSE;
             }
         }
     }
 
+    /// Orders that are due for one service.
     fn plan_service(
         &mut self,
         service: &Service,
@@ -148,25 +150,26 @@
         now: Millis,
         orders: &mut Vec<ScaleOrder>,
     ) {
-        // Without spot replicas the operator's own number stands.
+        // The operator sets the number of ordinary replicas.
         if scaling.spot_price.is_none() {
             return;
         }
         let name: Arc<str> = service.name.as_str().into();
-        let mut zones = zones(service, scaling, view);
-        let all: u32 = zones.values().map(|present| present.ordinary).sum();
-        // What stands in an evacuated zone stays as it is, and counts for nothing meanwhile.
+        let mut zones = replicas_by_zone(service, scaling, view);
+        let ordinary_anywhere = ordinary(&zones);
+        // Nothing is ordered for an evacuated zone, and its replicas serve nobody meanwhile.
         zones.retain(|zone, _| !view.is_evacuated(zone));
-        let ordinary: u32 = zones.values().map(|present| present.ordinary).sum();
-        let wanted = self.wanted(&name, service, all).saturating_sub(ordinary);
-        let may_shrink = !self.is_returning(service, now);
+        let ordinary = ordinary(&zones);
         let peak = self.peaks.get(&name);
+        let wanted = wanted(peak, service.engine_slots, ordinary_anywhere);
+        let wanted = wanted.saturating_sub(ordinary);
         let is_known = peak.is_some_and(|peak| peak.is_known(service.engine_slots, now));
+        let may_shrink = !self.is_returning(service, now);
         for (zone, count) in spread(wanted, scaling, &zones) {
             let there = zones.get(&zone).copied().unwrap_or_default();
             let present = there.spot;
-            let kind = (name.clone(), zone.clone(), true);
-            let ordered = self.ordered.entry(kind).or_default();
+            let ordered = self.ordered.entry((name.clone(), zone.clone(), true));
+            let ordered = ordered.or_default();
             let count = if is_known {
                 count
             } else {
@@ -190,81 +193,34 @@
             });
         }
     }
+}
 
-    /// Replicas that a service is to have in all; twice the ordinary ones before any load
-    /// was seen, since what is ordered once work is there comes late for it.
-    fn wanted(&self, name: &Arc<str>, service: &Service, ordinary: u32) -> u32 {
-        let most = self.peaks.get(name).map_or(0, Peak::most);
-        if most == 0 {
-            return 2 * ordinary;
-        }
-        let slots = f64::from(service.engine_slots.max(1));
-        (most as f64 * HEADROOM / slots).ceil() as u32
+fn ordinary(zones: &BTreeMap<Arc<str>, Present>) -> u32 {
+    zones.values().map(|present| present.ordinary).sum()
+}
+
+/// How many replicas of both kinds a service is to have: places for `HEADROOM` times the most
+/// requests of late, `slots` to a replica (0 counts as 1). Before any load was seen it is twice
+/// the ordinary ones, because what is ordered once there is work comes too late for it.
+fn wanted(peak: Option<&Peak>, slots: u32, ordinary: u32) -> u32 {
+    let most = peak.map_or(0, Peak::most);
+    if most == 0 {
+        return 2 * ordinary;
     }
+    let slots = f64::from(slots.max(1));
+    (most as f64 * HEADROOM / slots).ceil() as u32
 }
 
 impl Ordered {
-    /// Whether `count` is to be ordered where `present` are there.
+    /// Whether `count` is to be ordered where there are `present`: more at once, fewer only if
+    /// `may_shrink` and beyond `KEPT_SURPLUS`, and nothing before `not_before`.
     fn is_due(&self, count: u32, present: u32, may_shrink: bool, now: Millis) -> bool {
         if now < self.not_before {
             return false;
         }
         let known = self.count.unwrap_or(present);
         let grows = count > known || count > present;
-        let shrinks = may_shrink && count + SURPLUS < known;
+        let shrinks = may_shrink && count + KEPT_SURPLUS < known;
         grows || shrinks
     }
 }
-
-/// Replicas by zone: of all zones that have a price or a replica.
-fn zones(service: &Service, scaling: &Scaling, view: &FleetView) -> BTreeMap<Arc<str>, Present> {
-    let priced = scaling.zone_prices.keys();
-    let mut zones: BTreeMap<Arc<str>, Present> = priced
-        .map(|zone| (Arc::clone(zone), Present::default()))
-        .collect();
-    for replica in view.ready_replicas(&service.name) {
-        let present = match zones.get_mut(replica.zone.as_str()) {
-            Some(present) => present,
-            None => zones.entry(replica.zone.as_str().into()).or_default(),
-        };
-        if replica.is_spot {
-            present.spot += 1;
-        } else {
-            present.ordinary += 1;
-        }
-    }
-    zones
-}
-
-/// Spreads spot replicas evenly over the zones, as far as their limits allow; of what
-/// is left over the cheapest zones get one more.
-fn spread(
-    wanted: u32,
-    scaling: &Scaling,
-    zones: &BTreeMap<Arc<str>, Present>,
-) -> Vec<(Arc<str>, u32)> {
-    let price = |zone: &str| scaling.zone_prices.get(zone).copied().unwrap_or(1.0);
-    let mut rooms: Vec<(Arc<str>, u32, u32)> = zones
-        .iter()
-        .map(|(zone, present)| {
-            let room = scaling.max.saturating_sub(present.ordinary);
-            (Arc::clone(zone), room, 0)
-        })
-        .collect();
-    rooms.sort_by(|a, b| price(&a.0).total_cmp(&price(&b.0)));
-    let mut left = wanted;
-    while left > 0 {
-        let before = left;
-        for (_, room, count) in &mut rooms {
-            if *count < *room && left > 0 {
-                *count += 1;
-                left -= 1;
-            }
-        }
-        if left == before {
-            break;
-        }
-    }
-    let counts = rooms.into_iter().map(|(zone, _, count)| (zone, count));
-    counts.collect()
-}
--- a/crates/autoscaling/src/lib.rs
+++ b/crates/autoscaling/src/lib.rs
@@ -1,16 +1,15 @@
 //! How many replicas a service is to have in each zone, of which kind.
 //!
-//! A service that scales has ordinary replicas, which stay, and may have spot replicas,
-//! which cost a part of an ordinary one's price and may be taken away, all of a zone at
-//! once. The ordinary ones are left as they are; spot ones are ordered beside them until
-//! the places of both hold the most work that was there at one time lately:
+//! A service that scales has ordinary replicas, whose number the operator sets, and may have spot
+//! replicas, which cost less and may be taken away, all of a zone at once. Spot replicas are
+//! ordered beside the ordinary ones until the places of both hold the most work of late:
 //!
 //! ```text
 //! wanted = peak / slots x HEADROOM, within the limits of the zones
-//! spot   = wanted - ordinary, spread evenly: a reclaim of one zone leaves the others
+//! spot   = wanted - ordinary, spread evenly over the zones
 //! ```
 //!
-//! Before the peak is known, which takes several waves of work, nothing is given back.
+//! Until the peak is known, which takes several waves of work, nothing is given back.
 //!
 //! Nothing here does I/O: `(state, event, now) -> orders`.
 #![forbid(unsafe_code)]
@@ -18,6 +17,6 @@
 mod autoscaler;
 mod peak;
 mod waves;
+mod zones;
 
 pub use autoscaler::{Autoscaler, ScaleAnswer, ScaleOrder};
-pub use peak::Peak;
--- a/crates/autoscaling/src/waves.rs
+++ b/crates/autoscaling/src/waves.rs
@@ -1,20 +1,20 @@
-//! Waves of work.
+//! Waves of work: a rise of the load to a crest, and its fall to half of that.
 
-/// Waves alike after which the next are taken to be like them: what is given back too early
-/// must boot again.
-const ENOUGH: u32 = 3;
+/// Number of similar waves after which the next are expected to be like them. A replica that is
+/// given back too early must boot again (docs/design/0023-time-of-calls-and-peaks.md).
+const SIMILAR_WAVES: u32 = 3;
 
-/// Where the load stands in a wave.
+/// Stage of a wave.
 #[derive(Clone, Copy, Debug)]
 enum Stage {
-    /// It rose to this, and has not fallen to half of it since.
+    /// The load rose to this crest and has not fallen to half of it since.
     Rising(usize),
-    /// It fell to half of a crest, and to this since.
+    /// The load fell to half of a crest; this is the least since.
     Falling(usize),
 }
 
-/// Counts waves of a load, which it is told at each look: a rise to a crest and a fall to half
-/// of it. Free of times: steps of trainers take seconds or half an hour.
+/// Counts waves of a load, which is recorded at each tick. It uses no times: steps of trainers
+/// take seconds or half an hour.
 #[derive(Clone, Debug)]
 pub(crate) struct Waves {
     stage: Stage,
@@ -35,8 +35,8 @@
 }
 
 impl Waves {
-    /// The load at present.
-    pub fn note(&mut self, load: usize) {
+    /// Records the load at a tick.
+    pub fn record(&mut self, load: usize) {
         self.stage = match self.stage {
             Stage::Rising(crest) if 2 * load <= crest.max(load) => {
                 self.end_wave(crest);
@@ -48,19 +48,20 @@
         };
     }
 
-    /// Whether enough waves were alike, with a highest crest of at least `least`, and none under
-    /// way is more than twice as high.
+    /// Whether enough waves were similar, with a highest crest of at least `least`, and the present
+    /// one is not more than twice as high.
     pub fn are_known(&self, least: usize) -> bool {
         let is_higher = match self.stage {
             Stage::Rising(crest) => crest > 2 * self.highest,
             Stage::Falling(_) => false,
         };
-        self.seen >= ENOUGH && self.highest >= least && !is_higher
+        self.seen >= SIMILAR_WAVES && self.highest >= least && !is_higher
     }
 
+    /// Counts a wave that ended, by its crest.
     fn end_wave(&mut self, crest: usize) {
         if crest > 2 * self.highest {
-            // Those before tell nothing of such ones.
+            // Waves so much smaller say nothing about this one.
             self.seen = 0;
         }
         if 2 * crest >= self.highest {
--- a/crates/autoscaling/tests/autoscaler.rs
+++ b/crates/autoscaling/tests/autoscaler.rs
@@ -196,7 +196,7 @@
 #[rstest]
 #[case::waves_of_4_s(4_000)]
 #[case::waves_of_6_s(6_000)]
-fn the_first_requests_give_nothing_back(#[case] period: u64) {
+fn first_requests_give_no_replica_back(#[case] period: u64) {
     let mut scaler = Autoscaler::default();
     let mut platform = Platform::new(10, Some(0.2));
     play(&mut scaler, &mut platform, 0..10_000, |_| 0);
@@ -221,7 +221,7 @@
 
 /// Work that comes evenly has no waves: it is known once it was watched for long.
 #[rstest]
-fn even_work_is_known_in_time() {
+fn peak_of_even_work_is_known_after_its_memory() {
     let mut scaler = Autoscaler::default();
     let mut platform = Platform::new(10, Some(0.2));
     play(&mut scaler, &mut platform, 0..10_000, |_| 0);
@@ -234,7 +234,7 @@
 
 /// Waves that are much larger than those before begin the watch anew.
 #[rstest]
-fn small_waves_tell_nothing_of_large_ones() {
+fn much_larger_waves_start_the_count_of_waves_again() {
     let mut scaler = Autoscaler::default();
     let mut platform = Platform::new(10, Some(0.2));
     play(&mut scaler, &mut platform, 0..10_000, |_| 0);
@@ -247,7 +247,7 @@
 }
 
 #[rstest]
-fn nothing_is_ordered_where_there_are_no_spot_replicas() {
+fn nothing_is_ordered_without_spot_replicas() {
     let mut scaler = Autoscaler::default();
     let mut platform = Platform::new(4, None);
     play(&mut scaler, &mut platform, 0..60_000, |_| 900);
@@ -257,7 +257,7 @@
 /// All of a zone are taken away, and none are to be had there for ten seconds: they are
 /// asked for now and then, and come back.
 #[rstest]
-fn replicas_that_were_taken_away_come_back() {
+fn reclaimed_replicas_are_ordered_again() {
     let mut scaler = Autoscaler::default();
     let mut platform = Platform::new(15, Some(0.2));
     play(&mut scaler, &mut platform, 0..20_000, |_| 700);
@@ -313,7 +313,7 @@
 #[rstest]
 #[case::one(&["b"])]
 #[case::two(&["a", "b"])]
-fn evacuated_places_are_made_up_for_elsewhere(#[case] zones: &[&str]) {
+fn places_of_an_evacuated_zone_are_replaced_in_other_zones(#[case] zones: &[&str]) {
     let mut scaler = Autoscaler::default();
     let mut platform = Platform::new(10, Some(0.2));
     play_evacuated(&mut scaler, &mut platform, 0..20_000, 300, &[]);
@@ -339,7 +339,7 @@
 
 /// Once the zone is back, those that stood in for it stay until its own have warmed up.
 #[rstest]
-fn what_stood_in_goes_gently() {
+fn replacements_stay_until_returned_replicas_are_warm() {
     let mut scaler = Autoscaler::default();
     let mut platform = Platform::new(10, Some(0.2));
     play_evacuated(&mut scaler, &mut platform, 0..20_000, 300, &[]);
@@ -358,7 +358,7 @@
 
 /// Taken back and written again within a second: nothing is ordered for that moment.
 #[rstest]
-fn a_moment_without_the_evacuation_changes_nothing() {
+fn evacuation_taken_back_for_a_second_changes_no_order() {
     let mut scaler = Autoscaler::default();
     let mut platform = Platform::new(10, Some(0.2));
     play_evacuated(&mut scaler, &mut platform, 0..20_000, 300, &[]);
@@ -386,7 +386,7 @@
 #[rstest]
 #[case::a_stray_request(|now| usize::from(now < 10_500))]
 #[case::a_step_a_minute(|now| if now % 60_000 < 4_000 { 160 } else { 0 })]
-fn a_long_rest_begins_the_watch_anew(#[case] before: fn(u64) -> usize) {
+fn long_rest_starts_the_watch_of_the_peak_again(#[case] before: fn(u64) -> usize) {
     let mut scaler = Autoscaler::default();
     let mut platform = Platform::new(10, Some(0.2));
     play(&mut scaler, &mut platform, 0..10_000, |_| 0);
--- a/crates/compression/src/lib.rs
+++ b/crates/compression/src/lib.rs
@@ -1,9 +1,8 @@
-//! Bytes made smaller before they cross zones or reach a disk.
+//! Compression of bytes before they cross zones or reach a disk.
 //!
-//! A packed run of bytes begins with a tag: [`PLAIN`] before the bytes as they
-//! are, [`DEFLATED`] before a raw DEFLATE stream (RFC 1951). What is short, or does
-//! not become smaller, stays plain. The fastest level is used: bytes between zones
-//! are dear, but so is processor time.
+//! Packed bytes begin with a tag: [`PLAIN`] before the bytes as they are, [`DEFLATED`] before a raw
+//! DEFLATE stream (RFC 1951). Bytes that are short or do not become smaller stay plain. The
+//! fastest level is used: a process has a fraction of a core.
 #![forbid(unsafe_code)]
 
 use bytes::{Buf, Bytes};
@@ -16,21 +15,23 @@
 /// Tag of a DEFLATE stream.
 pub const DEFLATED: u8 = 1;
 
-/// Shorter runs of bytes stay as they are.
+/// Shortest bytes that are compressed: a shorter message saves too little for its processor time.
+/// Not measured.
 const SHORTEST: usize = 256;
-
-/// Times by which content is longer than its stream, roughly.
+/// Expected length of the content for a length of the stream, for the first allocation. Not
+/// measured.
 const EXPECTED_RATIO: usize = 2;
 
 thread_local! {
-    /// Kept between calls: making one costs far more than packing a message.
+    /// Kept between calls: its state of some 300 KB would be zeroed for each message.
     static COMPRESS: RefCell<Compress> =
         RefCell::new(Compress::new(Compression::fast(), false));
+    /// Whether `pack` leaves bytes plain.
     static IS_PAUSED: Cell<bool> = const { Cell::new(false) };
     static DECOMPRESS: RefCell<Decompress> = RefCell::new(Decompress::new(false));
 }
 
-/// Why packed bytes cannot be read.
+/// Why packed bytes cannot be unpacked.
 #[derive(Debug, Display)]
 pub enum UnpackError {
     /// there is no tag
@@ -45,14 +46,14 @@
 
 impl std::error::Error for UnpackError {}
 
-/// Has [`pack`] on this thread leave bytes plain, or make them smaller again: for a
-/// process that lacks processor time more than bytes.
+/// Has [`pack`] on this thread leave bytes plain, or compress again: for a process that has too
+/// little processor time.
 pub fn pause_packing(is_paused: bool) {
     IS_PAUSED.set(is_paused);
 }
 
-/// Has [`pack`] make bytes smaller within `make` even while packing is paused: for what is
-/// packed once and sent many times.
+/// Has [`pack`] compress within `make` even while it is paused: for bytes that are packed once and
+/// sent many times.
 pub fn always_packing<T>(make: impl FnOnce() -> T) -> T {
     let was_paused = IS_PAUSED.replace(false);
     let made = make();
@@ -60,7 +61,7 @@
     made
 }
 
-/// Packs bytes, unless packing is paused. Deterministic but for that.
+/// Packs bytes. The result depends on the bytes alone, and on whether packing is paused.
 pub fn pack(bytes: &[u8]) -> Bytes {
     if bytes.len() >= SHORTEST
         && !IS_PAUSED.get()
@@ -74,7 +75,7 @@
     plain.into()
 }
 
-/// The tagged stream, if it is smaller than the bytes.
+/// The bytes as a tagged stream; none: that is not smaller.
 fn deflate(bytes: &[u8]) -> Option<Bytes> {
     let mut packed = Vec::with_capacity(bytes.len());
     packed.push(DEFLATED);
@@ -82,14 +83,14 @@
         compress.reset();
         compress.compress_vec(bytes, &mut packed, FlushCompress::Finish)
     });
-    // What does not end within the capacity is not smaller.
+    // A stream that does not fit into the capacity is not smaller.
     matches!(status, Ok(Status::StreamEnd)).then(|| packed.into())
 }
 
-/// Unpacks bytes of at most `longest` bytes; plain ones share their memory.
+/// Unpacks bytes whose content has at most `longest` bytes; plain ones share their memory.
 ///
 /// # Errors
-/// See [`UnpackError`].
+/// There is no known tag, the stream is broken, or the content is longer.
 pub fn unpack(mut packed: Bytes, longest: usize) -> Result<Bytes, UnpackError> {
     if packed.is_empty() {
         return Err(UnpackError::Empty);
@@ -102,6 +103,7 @@
     }
 }
 
+/// The content of a stream, of at most `longest` bytes.
 fn inflate(packed: &[u8], longest: usize) -> Result<Bytes, UnpackError> {
     let mut bytes = Vec::with_capacity(packed.len() * EXPECTED_RATIO);
     DECOMPRESS.with_borrow_mut(|decompress| {
--- a/crates/compression/tests/pack.rs
+++ b/crates/compression/tests/pack.rs
@@ -11,13 +11,13 @@
 
 proptest! {
     #[test]
-    fn what_is_packed_comes_back(bytes in proptest::collection::vec(any::<u8>(), 0..4_000)) {
+    fn packed_bytes_unpack_to_the_same(bytes in proptest::collection::vec(any::<u8>(), 0..4_000)) {
         let unpacked = unpack(pack(&bytes), LONGEST).expect("unpacks");
         prop_assert_eq!(unpacked.as_ref(), bytes.as_slice());
     }
 
     #[test]
-    fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn no_bytes_cause_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let _ = unpack(Bytes::from(bytes), LONGEST);
     }
 
@@ -35,7 +35,7 @@
 }
 
 #[rstest]
-fn broken_bytes_are_told() {
+fn broken_bytes_are_an_error() {
     let broken = |bytes: &'static [u8]| unpack(Bytes::from_static(bytes), LONGEST);
     assert!(matches!(broken(b""), Err(UnpackError::Empty)));
     assert!(matches!(broken(b"\x09x"), Err(UnpackError::Tag(9))));
@@ -62,7 +62,7 @@
 #[rstest]
 #[case::while_paused(true)]
 #[case::else_too(false)]
-fn what_is_shared_is_packed_even_while_packing_is_paused(#[case] is_paused: bool) {
+fn always_packing_compresses_while_packing_is_paused(#[case] is_paused: bool) {
     let bytes = vec![7; 4_000];
     pause_packing(is_paused);
     let packed = always_packing(|| pack(&bytes));
--- a/crates/distance/src/lib.rs
+++ b/crates/distance/src/lib.rs
@@ -1,9 +1,9 @@
-//! How far apart two processes are: the one notion of distance.
+//! How far apart two processes are.
 //!
-//! A [`Distance`] is a class (same zone, same region, other region), told by the layout of
-//! the settings. [`RoundTrips`] says how long a round trip of each class takes, from those
-//! that links measured. Whatever weighs one replica, edge or member against another by
-//! where it stands asks here. Nothing here does I/O.
+//! A [`Distance`] is a class (same zone, same region, other region) that follows from the layout
+//! in the settings. [`RoundTrips`] says how long a round trip of each class takes, from those
+//! that links measured. Every choice between replicas, edges or members by where they are uses
+//! these. Nothing here does I/O.
 #![forbid(unsafe_code)]
 
 mod place;
--- a/crates/distance/src/place.rs
+++ b/crates/distance/src/place.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-/// Where a process or a replica stands.
+/// Where a process or a replica runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Its zone.
+    /// Name of the zone.
     pub zone: Arc<str>,
-    /// Region of that zone; none: the layout does not say.
+    /// Name of the region of that zone; none: the layout does not say.
     pub region: Option<Arc<str>>,
 }
 
@@ -16,7 +16,7 @@
 pub enum Distance {
     /// In one zone.
     SameZone,
-    /// In two zones of one region, or of regions that nobody named.
+    /// In two zones of one region, or in two zones of which one has no known region.
     SameRegion,
     /// In two regions.
     OtherRegion,
--- a/crates/distance/src/round_trips.rs
+++ b/crates/distance/src/round_trips.rs
@@ -1,24 +1,24 @@
-//! How long a round trip takes, by distance.
+//! How long a round trip takes, by distance, and the rule by which measurements are believed.
 
 use crate::place::Distance;
 use std::collections::VecDeque;
 
-/// Round trips of a class kept: the least of them is taken, so that one which met a busy
-/// machine or a lost packet says nothing, and a way that became longer shows once so many
-/// links were opened since.
-const KEPT: usize = 16;
-/// Round trips of a class that must be known before they are believed.
-const LEAST: usize = 3;
-/// Round trips assumed before any is measured, in ms: inside a zone's network; between
-/// halls some tens of km apart; between cities some hundreds of km apart.
+/// Most measurements kept for a class. The least of them counts, so that one that met a busy
+/// machine or a lost packet does not; a way that became longer shows after as many new links. Not
+/// measured.
+const MOST_KEPT: usize = 16;
+/// Fewest measurements of a class that are believed. Not measured.
+const FEWEST_BELIEVED: usize = 3;
+/// Round trips that are assumed until enough are measured, in ms, by class: in the network of a
+/// zone; between buildings some tens of km apart; between cities some hundreds of km apart.
 const ASSUMED_MS: [f64; 3] = [0.5, 3.0, 20.0];
 
 /// Round trips that links measured, by distance.
 #[derive(Clone, Debug)]
 pub struct RoundTrips {
+    /// The newest measurements of each class, in ms.
     measured: [VecDeque<f64>; 3],
-    /// What is believed of each class: asked for each replica at each request, while links
-    /// are opened seldom.
+    /// The result for each class, kept because every request asks for it.
     believed_ms: [f64; 3],
 }
 
@@ -32,14 +32,15 @@
 }
 
 impl RoundTrips {
-    /// A round trip of `ms` was measured. What is no time is not taken.
+    /// Records a measured round trip in ms. A value that is no time (negative, infinite, no number)
+    /// is ignored.
     pub fn note(&mut self, distance: Distance, ms: f64) {
         if !ms.is_finite() || ms < 0.0 {
             return;
         }
         let measured = &mut self.measured[distance as usize];
         measured.push_back(ms);
-        if measured.len() > KEPT {
+        if measured.len() > MOST_KEPT {
             measured.pop_front();
         }
         let mut nearer_ms = 0.0;
@@ -49,19 +50,21 @@
         }
     }
 
-    /// Time of a round trip, in ms; never less than that of a nearer class.
+    /// Time of a round trip in ms: the least measured, or assumed, and never less than that of a
+    /// nearer class.
     pub fn ms(&self, distance: Distance) -> f64 {
         self.believed_ms[distance as usize]
     }
 
-    /// How many round trips of a class are known.
+    /// How many measurements of a class are kept.
     pub fn known(&self, distance: Distance) -> usize {
         self.measured[distance as usize].len()
     }
 
+    /// The least measurement of a class alone, or what is assumed for it.
     fn own_ms(&self, distance: Distance) -> f64 {
         let measured = &self.measured[distance as usize];
-        if measured.len() < LEAST {
+        if measured.len() < FEWEST_BELIEVED {
             return ASSUMED_MS[distance as usize];
         }
         measured.iter().copied().fold(f64::INFINITY, f64::min)
--- a/crates/distance/tests/distance.rs
+++ b/crates/distance/tests/distance.rs
@@ -10,7 +10,7 @@
 #[case("b1", Some("b"), Distance::OtherRegion)]
 // A layout that names no regions is one region.
 #[case("b1", None, Distance::SameRegion)]
-fn a_class_follows_from_zone_and_region(
+fn class_follows_from_zone_and_region(
     #[case] zone: &str,
     #[case] region: Option<&str>,
     #[case] distance: Distance,
@@ -20,14 +20,14 @@
 }
 
 #[rstest]
-fn a_layout_without_regions_knows_zones_alone() {
+fn layout_without_regions_has_zones_only() {
     let here = Place::new("a1", None);
     assert_eq!(here.distance_to("a1", None), Distance::SameZone);
     assert_eq!(here.distance_to("b1", Some("b")), Distance::SameRegion);
 }
 
 #[rstest]
-fn the_layout_is_believed_until_links_have_measured() {
+fn assumed_round_trip_holds_until_enough_are_measured() {
     let mut known = RoundTrips::default();
     let assumed = known.ms(Distance::OtherRegion);
     known.note(Distance::OtherRegion, 160.0);
@@ -38,7 +38,7 @@
 }
 
 #[rstest]
-fn a_connection_that_took_a_second_says_nothing() {
+fn one_slow_connection_is_ignored() {
     let mut known = RoundTrips::default();
     for ms in [2.9, 1_003.0, 2.8, 3.1] {
         known.note(Distance::SameRegion, ms);
@@ -47,7 +47,7 @@
 }
 
 #[rstest]
-fn a_way_that_became_longer_shows_in_time() {
+fn longer_way_shows_after_as_many_links_as_are_kept() {
     let mut known = RoundTrips::default();
     known.note(Distance::OtherRegion, 16.0);
     for _ in 0..16 {
@@ -64,7 +64,7 @@
     /// Whatever was measured, farther is never quicker, and no value is made up: each was
     /// measured or assumed of that class or of a nearer one.
     #[test]
-    fn farther_is_never_quicker(samples in prop::collection::vec((a_class(), 0.0..2_000.0f64), 0..80)) {
+    fn farther_class_is_never_faster(samples in prop::collection::vec((a_class(), 0.0..2_000.0f64), 0..80)) {
         let mut known = RoundTrips::default();
         let fresh = RoundTrips::default();
         for (distance, ms) in &samples {
@@ -81,7 +81,7 @@
 
     /// What is no time changes nothing.
     #[test]
-    fn only_times_are_taken(distance in a_class(), ms in prop::sample::select(vec![f64::NAN, f64::INFINITY, -1.0])) {
+    fn values_that_are_no_times_are_ignored(distance in a_class(), ms in prop::sample::select(vec![f64::NAN, f64::INFINITY, -1.0])) {
         let mut known = RoundTrips::default();
         for _ in 0..5 {
             known.note(distance, ms);
--- a/crates/entries/src/amount.rs
+++ b/crates/entries/src/amount.rs
@@ -1,8 +1,8 @@
-//! Numbers that are never below 0.
+//! Numbers that are 0 or more.
 
 use serde::Deserialize;
 
-/// A number that is never below 0: a time, a weight, a rate.
+/// A number that is 0 or more: a time, a weight, a rate. Reading one below 0 fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(try_from = "f64")]
 pub struct Amount(f64);
@@ -16,7 +16,7 @@
 }
 
 impl Amount {
-    /// A number that is known; one below 0 is 0.
+    /// A constant; one below 0 becomes 0.
     pub const fn of(number: f64) -> Self {
         Self(number.max(0.0))
     }
@@ -26,12 +26,12 @@
         self.0
     }
 
-    /// Whole units.
+    /// The number without its fraction.
     pub fn whole(self) -> u64 {
         self.0 as u64
     }
 
-    /// Milliseconds, of seconds.
+    /// The number as seconds, in whole milliseconds.
     pub fn seconds_in_ms(self) -> u64 {
         (self.0 * 1_000.0) as u64
     }
--- a/crates/entries/src/fields.rs
+++ b/crates/entries/src/fields.rs
@@ -1,4 +1,4 @@
-//! Reading of objects by the names of their fields alone.
+//! Reading of JSON objects by the names of their fields.
 
 use crate::problem::Problem;
 use serde::de::value::MapAccessDeserializer;
@@ -6,7 +6,8 @@
 use std::fmt::{Formatter, Result as Written};
 use std::marker::PhantomData;
 
-/// Fields of an object. A derived reader takes an array of the right length as well.
+/// A value that is read from a JSON object only. A derived reader by itself also accepts an array
+/// with as many elements as the type has fields.
 #[derive(Clone, Debug, Default)]
 pub struct Fields<T>(pub T);
 
@@ -33,7 +34,7 @@
 /// Reads an object of JSON.
 ///
 /// # Errors
-/// Why it cannot be read.
+/// Why the text cannot be read as an object of that type.
 pub fn read<'de, T: Deserialize<'de>>(text: &'de [u8]) -> Result<T, Problem> {
     let Fields(read) = serde_json::from_slice(text)?;
     Ok(read)
--- a/crates/entries/src/lib.rs
+++ b/crates/entries/src/lib.rs
@@ -1,8 +1,8 @@
-//! Entries that others write: answers split without reading what is in them, and an account of
-//! the entries that cannot be read.
+//! Entries of a source that other writers write to as well.
 //!
-//! Who keeps entries beside other writers reads each alone, so that one that cannot be read
-//! costs no other, and tells of it once. Nothing here does I/O but the log.
+//! An answer is split into its entries without reading them ([`elements`], [`members`]), each is
+//! read by itself ([`read`]), and [`Unreadable`] records those that cannot be read: one such entry
+//! costs no other, and is logged once. Nothing here does I/O except for the log.
 #![forbid(unsafe_code)]
 
 mod amount;
--- a/crates/entries/src/parts.rs
+++ b/crates/entries/src/parts.rs
@@ -1,29 +1,29 @@
-//! Splits JSON text where its brackets, strings and commas say, whatever lies between them.
+//! Splits JSON text by its brackets, strings and commas, whatever is between them.
 //!
-//! A parser gives up the whole text at the first byte that it cannot read; here each part is
-//! cut out as it stands, for its own reader to judge. All of JSON is split as a parser would.
+//! A parser fails on the whole text at the first byte that it cannot read. Here each part is cut
+//! out unread, for a reader of its own. Valid JSON is split as a parser would.
 
 use crate::problem::Problem;
 use serde::de::DeserializeOwned;
 
-/// The elements of an array, as they stand; none: the text is no array with balanced brackets.
+/// The texts of the elements of an array; none: the text is no array with balanced brackets.
 pub fn elements(text: &[u8]) -> Option<Vec<&[u8]>> {
     split(inside(text, b'[', b']')?, b',')
 }
 
-/// Members of an object, as they stand.
+/// Names of an object's members with the texts of their values.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members<'a>(Vec<(String, &'a [u8])>);
 
-/// The members of an object; none: the text is no object with balanced brackets. Those whose
-/// name cannot be read are left out.
+/// The members of an object; none: the text is no object with balanced brackets. A member whose
+/// name cannot be read is left out: nobody can ask for it.
 pub fn members(text: &[u8]) -> Option<Members<'_>> {
     let parts = split(inside(text, b'{', b'}')?, b',')?;
     Some(Members(parts.into_iter().filter_map(member).collect()))
 }
 
 impl<'a> Members<'a> {
-    /// A member's text; none: it is missing.
+    /// Text of a member's value; none: it is missing.
     pub fn get(&self, name: &str) -> Option<&'a [u8]> {
         let mut found = self.0.iter().filter(|(known, _)| known == name);
         found.next().map(|(_, text)| *text)
@@ -50,6 +50,7 @@
     }
 }
 
+/// A member's name and the text of its value; none: there is no name that can be read.
 fn member(part: &[u8]) -> Option<(String, &[u8])> {
     let pieces = split(part, b':')?;
     let name = serde_json::from_slice(pieces.first()?).ok()?;
@@ -57,13 +58,14 @@
     Some((name, value.trim_ascii()))
 }
 
+/// The text between an opening bracket at its start and a closing one at its end.
 fn inside(text: &[u8], open: u8, close: u8) -> Option<&[u8]> {
     let text = text.trim_ascii().strip_prefix(&[open])?;
     Some(text.strip_suffix(&[close])?.trim_ascii())
 }
 
-/// Parts between separators that stand in no bracket and no string; none: a bracket or a string
-/// is left open, or closed that was never opened.
+/// The parts between separators outside brackets and strings; none: a bracket or a string is not
+/// closed, or a bracket is closed that was not opened.
 fn split(text: &[u8], separator: u8) -> Option<Vec<&[u8]>> {
     let mut parts = Vec::new();
     if text.is_empty() {
--- a/crates/entries/src/problem.rs
+++ b/crates/entries/src/problem.rs
@@ -1,13 +1,13 @@
-//! Why an entry cannot be read, in words that may be logged.
+//! Why an entry cannot be read, in words that are safe to log.
 
 use std::fmt::{Display, Formatter, Result};
 
-/// Why an entry cannot be read. It repeats nothing of the entry's values: an entry may hold keys.
+/// Why an entry cannot be read. It quotes no value of the entry, which may have API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem(String);
 
 impl Problem {
-    /// A problem that a reader found itself; `text` holds nothing of the entry.
+    /// A problem that a reader found itself; `text` must not quote the entry.
     pub fn new(text: &str) -> Self {
         Self(text.to_string())
     }
@@ -19,7 +19,8 @@
 }
 
 impl From<serde_json::Error> for Problem {
-    /// A parser's own words quote what it met, but for those on a field that is missing.
+    /// The parser's message quotes the text, except for one on a missing field; of any other only
+    /// the kind and the column are kept.
     fn from(error: serde_json::Error) -> Self {
         let words = error.to_string();
         let column = error.column();
--- a/crates/entries/tests/fields.rs
+++ b/crates/entries/tests/fields.rs
@@ -22,7 +22,7 @@
 #[case::lacks_one(r#"{"number":1}"#, "missing field inner")]
 #[case::lacks_one_within(r#"{"number":1,"inner":[{}]}"#, "missing field text")]
 #[case::more_follows(r#"{"number":1,"inner":[]} {}"#, "no JSON")]
-fn what_is_no_object_is_a_problem(#[case] text: &str, #[case] expected: &str) {
+fn text_that_is_no_object_is_a_problem(#[case] text: &str, #[case] expected: &str) {
     let problem = read::<Outer>(text.as_bytes())
         .expect_err("no object")
         .to_string();
--- a/crates/entries/tests/parts.rs
+++ b/crates/entries/tests/parts.rs
@@ -35,7 +35,7 @@
 #[case::great_number(b"1e999")]
 #[case::no_value(b"{\"a\":}")]
 #[case::bare_bytes(b"\xff")]
-fn what_no_parser_takes_stays_alone(#[case] bad: &[u8]) {
+fn unreadable_element_leaves_the_others_intact(#[case] bad: &[u8]) {
     let text = [b"[1,".as_slice(), bad, b",{\"a\":2}]"].concat();
     assert!(
         serde_json::from_slice::<Value>(&text).is_err(),
@@ -102,7 +102,7 @@
     }
 
     #[test]
-    fn no_bytes_make_it_panic(text in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn no_bytes_cause_a_panic(text in proptest::collection::vec(any::<u8>(), 0..200)) {
         let wrapped = [b"[".as_slice(), &text, b"]"].concat();
         let object = [b"{".as_slice(), &text, b"}"].concat();
         let _ = (elements(&text), members(&text), elements(&wrapped), members(&object));
--- a/crates/entries/tests/unreadable.rs
+++ b/crates/entries/tests/unreadable.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 #[rstest]
-fn an_entry_counts_once_until_it_can_be_read() {
+fn entry_counts_once_until_it_can_be_read() {
     let mut account = Unreadable::default();
     let problem = Problem::new("no object");
     for _ in 0..3 {
@@ -28,7 +28,7 @@
 #[rstest]
 #[case::another_type(r#"{"api_keys": "secret-of-one"}"#)]
 #[case::no_json(r#"{"api_keys": secret-of-one}"#)]
-fn problems_repeat_no_value(#[case] text: &str) {
+fn problems_quote_no_value(#[case] text: &str) {
     let read = serde_json::from_str::<std::collections::BTreeMap<String, Vec<Value>>>(text);
     let problem = Problem::from(read.expect_err("unreadable")).to_string();
     assert!(!problem.contains("secret"), "{problem}");
--- a/crates/metering/src/clock.rs
+++ b/crates/metering/src/clock.rs
@@ -1,29 +1,31 @@
 //! True time out of clocks that may jump.
 //!
-//! A machine's time of day is near true time, but may jump by seconds on some of the
-//! machines, the leader's among them. Steady clocks do not jump. So the leader relates
-//! every machine's time of day to its own steady clock and takes the median; edges
-//! relate what the leader tells to their steady clocks.
+//! A machine's time of day is near true time, but may jump by seconds on some of the machines,
+//! the leader's among them. Steady clocks do not jump. So the leader relates the time of day of
+//! every machine to its own steady clock and takes the median; edges relate the leader's time to
+//! their steady clocks.
 
 use brasspond_units::{Millis, WallMillis};
 use std::collections::{HashMap, VecDeque};
 
-/// Samples of one machine that are looked at: of these the greatest counts, which came
-/// with the least delay.
+/// Samples kept of one clock. The greatest counts, because it arrived with the least delay; more
+/// samples keep a jump forward for longer. Not measured.
 const SAMPLES: usize = 4;
-/// A machine that told nothing for so long is left out, in ms: ten of its signs of life.
-const SAMPLE_LIFE: Millis = 5_000;
-/// Machines that a median needs, so that a single one's jump is outvoted.
-const LEAST_MACHINES: usize = 3;
+/// Time without a sample after which a machine is left out, in ms: ten of its signs of life.
+const SAMPLE_KEPT_FOR: Millis = 5_000;
+/// Fewest machines for a median: with three, one that jumped is outvoted.
+const FEWEST_MACHINES: usize = 3;
 
 /// Time of day less steady clock, in ms.
 type Offset = i64;
 
+/// The offset of a clock. Times beyond the range of `i64` count as its greatest.
 fn offset(wall: WallMillis, steady: Millis) -> Offset {
     let wall = i64::try_from(wall).unwrap_or(i64::MAX);
     wall.saturating_sub(i64::try_from(steady).unwrap_or(i64::MAX))
 }
 
+/// The time of day of a clock when the steady clock shows `steady`; before 1970: 0.
 fn time_at(offset: Offset, steady: Millis) -> WallMillis {
     let steady = i64::try_from(steady).unwrap_or(i64::MAX);
     u64::try_from(offset.saturating_add(steady)).unwrap_or(0)
@@ -33,11 +35,12 @@
 #[derive(Clone, Debug, Default)]
 struct Samples {
     offsets: VecDeque<Offset>,
+    /// When the newest arrived, by the own steady clock.
     newest_at: Millis,
 }
 
 impl Samples {
-    fn note(&mut self, offset: Offset, now: Millis) {
+    fn add(&mut self, offset: Offset, now: Millis) {
         if self.offsets.len() == SAMPLES {
             self.offsets.pop_front();
         }
@@ -51,32 +54,33 @@
     }
 }
 
-/// True time at the leader, out of all machines' times of day.
+/// True time at the leader, from the times of day of all machines.
 #[derive(Clone, Debug, Default)]
 pub struct FleetClock {
     machines: HashMap<String, Samples>,
 }
 
 impl FleetClock {
-    /// A machine's time of day arrived at `now` of the own steady clock.
+    /// Records a machine's time of day that arrived at `now` of the own steady clock.
     pub fn note(&mut self, machine: &str, wall: WallMillis, now: Millis) {
         let sample = offset(wall, now);
         match self.machines.get_mut(machine) {
-            Some(samples) => samples.note(sample, now),
+            Some(samples) => samples.add(sample, now),
             None => {
                 let mut samples = Samples::default();
-                samples.note(sample, now);
+                samples.add(sample, now);
                 self.machines.insert(machine.to_string(), samples);
             }
         }
     }
 
-    /// True time; none while too few machines told theirs lately.
+    /// True time; none while fewer than `FEWEST_MACHINES` sent theirs in the last
+    /// `SAMPLE_KEPT_FOR`.
     pub fn time(&mut self, now: Millis) -> Option<WallMillis> {
         self.machines
-            .retain(|_, samples| now < samples.newest_at + SAMPLE_LIFE);
+            .retain(|_, samples| now < samples.newest_at + SAMPLE_KEPT_FOR);
         let mut offsets: Vec<Offset> = self.machines.values().filter_map(Samples::best).collect();
-        if offsets.len() < LEAST_MACHINES {
+        if offsets.len() < FEWEST_MACHINES {
             return None;
         }
         offsets.sort_unstable();
@@ -84,21 +88,21 @@
     }
 }
 
-/// True time at an edge, as the leader tells it.
+/// True time at an edge, from the leader.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderClock {
     samples: Samples,
 }
 
 impl LeaderClock {
-    /// The leader's true time arrived at `now` of the own steady clock.
-    pub fn note(&mut self, told: WallMillis, now: Millis) {
-        self.samples.note(offset(told, now), now);
+    /// Records the leader's true time that arrived at `now` of the own steady clock.
+    pub fn note(&mut self, time: WallMillis, now: Millis) {
+        self.samples.add(offset(time, now), now);
     }
 
-    /// True time; `own` is the machine's time of day, for before any was told.
+    /// True time; before any arrived it is `own`, the machine's time of day.
     pub fn time(&self, own: WallMillis, now: Millis) -> WallMillis {
-        let told = self.samples.best();
-        told.map_or(own, |offset| time_at(offset, now))
+        let best = self.samples.best();
+        best.map_or(own, |offset| time_at(offset, now))
     }
 }
--- a/crates/metering/src/ledger.rs
+++ b/crates/metering/src/ledger.rs
@@ -1,34 +1,34 @@
-//! What the log keeps of usage: edges' counts of open windows, and what the reports of
-//! closed ones say.
+//! Usage as the log keeps it: edges' counts of open windows, and the reports of closed ones.
 //!
-//! Invariants: a window that is closed keeps its counts; windows are closed in
-//! ascending order.
+//! Invariants: the counts of a closed window do not change; windows are closed in ascending
+//! order.
 
 use crate::window::{Counts, WindowNumber};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Closed windows that are kept, delivered or not.
-const KEPT_WINDOWS: usize = 240;
+/// Most closed windows kept, delivered or not: 20 min of windows of 5 s. It bounds the log's
+/// state while the platform is out of reach; older reports are lost. Not measured.
+const MOST_CLOSED: usize = 240;
 
-/// One life of an edge's process: what it counts begins at nothing.
+/// One start of an edge's process. Its counts begin at 0.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EdgeLife {
     /// Name of its machine.
     pub machine: String,
-    /// Drawn at its start.
+    /// Random number, drawn at the start of the process.
     pub incarnation: u64,
 }
 
 /// A command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UsageCommand {
-    /// Keeps what edges counted in open windows so far.
+    /// Keeps all that edges counted in open windows so far.
     Keep(Vec<(EdgeLife, WindowNumber, Counts)>),
-    /// Fixes what the report of a window says: all that is kept by this place of the
-    /// log, so that no count on its way into the log is passed over.
+    /// Closes a window: its report is the sum of the counts kept up to this entry of the log. The
+    /// log sums, and not the leader, so that counts on their way into the log are included.
     Close(WindowNumber),
-    /// The platform took the report of a window.
+    /// The platform accepted the report of a window.
     Delivered(WindowNumber),
 }
 
@@ -44,6 +44,7 @@
 pub struct UsageLedger {
     open: BTreeMap<WindowNumber, BTreeMap<EdgeLife, Counts>>,
     closed: BTreeMap<WindowNumber, Closed>,
+    /// The newest window that was closed.
     closed_through: Option<WindowNumber>,
 }
 
@@ -71,7 +72,7 @@
         }
         let kept = self.open.entry(window).or_default();
         let known = kept.entry(life).or_default();
-        // An older report may come after a newer one where leaders change.
+        // Counts only rise; after a change of leader an older report may arrive after a newer one.
         for (tenant, count) in counts {
             let known = known.entry(tenant).or_default();
             *known = (*known).max(count);
@@ -90,7 +91,7 @@
             is_delivered: false,
         };
         self.closed.insert(window, closed);
-        while self.closed.len() > KEPT_WINDOWS {
+        while self.closed.len() > MOST_CLOSED {
             self.closed.pop_first();
         }
     }
@@ -100,12 +101,12 @@
         self.closed_through
     }
 
-    /// The oldest window for which anything is kept.
+    /// The oldest open window with counts.
     pub fn oldest_open(&self) -> Option<WindowNumber> {
         self.open.keys().next().copied()
     }
 
-    /// What edges counted in an open window, summed up.
+    /// Sum of what edges counted in an open window.
     fn sum(&self, window: WindowNumber) -> Counts {
         let mut sum = Counts::new();
         for counts in self
@@ -121,7 +122,7 @@
         sum
     }
 
-    /// The oldest window whose report the platform has not taken.
+    /// The oldest closed window whose report the platform has not accepted.
     pub fn undelivered(&self) -> Option<(WindowNumber, &Counts)> {
         let mut closed = self.closed.iter();
         let (window, closed) = closed.find(|(_, closed)| !closed.is_delivered)?;
--- a/crates/metering/src/lib.rs
+++ b/crates/metering/src/lib.rs
@@ -7,9 +7,9 @@
 //!                                      platform
 //! ```
 //!
-//! Edges tell what they counted in a window so far, never what was added, so that a
-//! report told twice counts once. What a window's report says is fixed by the log
-//! before it is sent: whoever leads sends the same. Windows are of true time, which
+//! An edge reports all that it counted in a window so far, never what was added, so that a report
+//! that arrives twice counts once. The log fixes the counts of a window before they are sent to
+//! the platform, so that every leader sends the same. Windows are of true time, which
 //! [`FleetClock`] takes from many machines, since the clocks of some may jump.
 //!
 //! Nothing here does I/O: `(state, event, now) -> actions`.
--- a/crates/metering/src/metering.rs
+++ b/crates/metering/src/metering.rs
@@ -1,5 +1,7 @@
-//! What the leader decides: when edges' counts go into the log, when a window is
-//! closed, when its report is sent.
+//! The leader's decisions: when counts of edges go into the log, when a window is closed, when its
+//! report is sent.
+//!
+//! Owns what edges reported since the last entry of the log, and when each edge was last heard.
 
 use crate::ledger::{EdgeLife, UsageCommand, UsageLedger};
 use crate::recorder::UsageReport;
@@ -7,25 +9,29 @@
 use brasspond_units::{Millis, WallMillis};
 use std::collections::BTreeMap;
 
-/// Pause between two entries of the log with counts, in ms: what the loss of all
-/// processes may cost.
+/// Pause between two entries of the log with counts, in ms: so much of the counts is lost if all
+/// processes are lost at once. Not measured.
 const KEEP_PAUSE: Millis = 300;
-/// Time after a window's end in which the last reports of edges arrive, in ms: they tell
-/// four times a second.
-const REPORT_TIME: WallMillis = 400;
-/// Part of the time until a report is due for which an edge that told nothing is waited
-/// for, in percent; the rest is for sending it.
+/// Time after a window's end in which the last reports of edges arrive, in ms: edges report every
+/// 250 ms, and the way takes less than the rest.
+const LAST_REPORTS: WallMillis = 400;
+/// Part of the time until a report is due for which an edge is waited for that has not reported,
+/// in percent. The rest is for sending the report, with retries. Not measured.
 const WAIT_PERCENT: u64 = 40;
-/// Time for edges to tell a new leader what they counted, in ms.
-const GATHERING_TIME: Millis = 2_000;
-/// An edge that was silent for so long is not waited for, in ms.
-const EDGE_SILENT: Millis = 4_000;
-/// First pause before a report is sent again, in ms; it doubles.
-const FIRST_PAUSE: Millis = 300;
-/// Longest pause before a report is sent again, in ms.
-const LONGEST_PAUSE: Millis = 2_400;
-
-/// Periods of a deployment.
+/// Time after its start in which a new leader closes no window, in ms: edges report to it all that
+/// they counted. Not measured.
+const START_PAUSE: Millis = 2_000;
+/// Time without a message after which an edge is not waited for, in ms: it is gone, or its counts
+/// come too late. Not measured.
+const AWAITED_WHILE_SILENT: Millis = 4_000;
+/// Pause before a report is sent again after its first failure, in ms; each further failure
+/// doubles it. Not measured.
+const FIRST_RESEND_PAUSE: Millis = 300;
+/// Longest pause before a report is sent again, in ms: well within the time until it is due. Not
+/// measured.
+const LONGEST_RESEND_PAUSE: Millis = 2_400;
+
+/// Times that a deployment sets.
 #[derive(Clone, Copy, Debug)]
 pub struct MeterSettings {
     /// Windows of the reports.
@@ -34,18 +40,18 @@
     pub late_ms: u64,
 }
 
-/// What became of a report that was sent.
+/// What the platform answered to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendAnswer {
-    /// It was taken.
+    /// It was accepted.
     Taken,
-    /// A newer holder sends them.
+    /// A newer leader sends reports.
     Fenced,
-    /// It was not taken, or nothing is known of it.
+    /// It was refused, or it is uncertain whether it was accepted.
     Again,
 }
 
-/// What is to be done.
+/// An action for the process to apply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MeterAction {
     /// Put this into the log.
@@ -57,31 +63,38 @@
 /// What is known of an edge's process.
 #[derive(Clone, Debug)]
 struct Edge {
+    /// Its counts of windows before this one are final.
     open_from: WindowNumber,
+    /// When a message of it last arrived.
     heard_at: Millis,
 }
 
-/// Metering of a leader. All of it may be lost: edges tell the next one everything.
+/// Metering of a leader. It may be lost with the leader: edges report everything to the next.
 #[derive(Debug)]
 pub struct Metering {
     settings: MeterSettings,
     began: Millis,
     edges: BTreeMap<EdgeLife, Edge>,
-    /// Counts told and not yet in the log.
+    /// Counts that edges reported and that no entry of the log has yet.
     unkept: BTreeMap<(EdgeLife, WindowNumber), Counts>,
+    /// When the last entry with counts was proposed.
     kept_at: Millis,
-    /// The first window of this leader where the log knows none.
+    /// The window at this leader's first tick, to begin with where the log has none.
     first: Option<WindowNumber>,
     /// The window whose close is proposed.
     closing: Option<WindowNumber>,
+    /// A report is under way.
     is_sending: bool,
+    /// Failures to send in a row.
     failures: u32,
+    /// No report is sent before this time.
     send_from: Millis,
+    /// A newer leader sends reports, so that this one sends none.
     is_fenced: bool,
 }
 
 impl Metering {
-    /// Metering of a leader that begins now.
+    /// Metering of a leader that begins at `now`.
     pub fn new(settings: MeterSettings, now: Millis) -> Self {
         Self {
             settings,
@@ -98,9 +111,9 @@
         }
     }
 
-    /// An edge told what it counted.
+    /// Accepts the report of an edge.
     pub fn reported(&mut self, life: EdgeLife, report: UsageReport, now: Millis) {
-        // An earlier life of the machine's process counts nothing more.
+        // An earlier start of the machine's process counts nothing more.
         self.edges
             .retain(|known, _| known.machine != life.machine || *known == life);
         for (window, counts) in report.windows {
@@ -113,7 +126,7 @@
         self.edges.insert(life, edge);
     }
 
-    /// An edge gave a sign of life.
+    /// Records a sign of life of an edge.
     pub fn heard(&mut self, machine: &str, now: Millis) {
         let mut edges = self.edges.iter_mut();
         if let Some((_, edge)) = edges.find(|(life, _)| life.machine == machine) {
@@ -121,12 +134,12 @@
         }
     }
 
-    /// An edge takes no more requests, or is out of reach.
+    /// Forgets an edge that accepts no more requests, or is out of reach.
     pub fn edge_gone(&mut self, machine: &str) {
         self.edges.retain(|life, _| life.machine != machine);
     }
 
-    /// The platform answered, or did not.
+    /// Accepts the platform's answer to the report of a window.
     pub fn answered(
         &mut self,
         window: WindowNumber,
@@ -138,21 +151,21 @@
             SendAnswer::Taken => {
                 self.failures = 0;
                 let delivered = UsageCommand::Delivered(window);
-                // Until the log knows, it is not sent again.
+                // Time for the log to have it; until then the report would be sent again.
                 self.send_from = now + KEEP_PAUSE;
                 return vec![MeterAction::Propose(delivered)];
             }
             SendAnswer::Fenced => self.is_fenced = true,
             SendAnswer::Again => {
-                let pause = FIRST_PAUSE << self.failures.min(3);
+                self.send_from = now + resend_pause(self.failures);
                 self.failures += 1;
-                self.send_from = now + pause.min(LONGEST_PAUSE);
             }
         }
         Vec::new()
     }
 
-    /// Lets time pass; `time` is true time, if it is known.
+    /// Actions that are due at `now`. `time` is true time; while it is not known no window is
+    /// closed.
     pub fn tick(
         &mut self,
         time: Option<WallMillis>,
@@ -168,6 +181,7 @@
         actions
     }
 
+    /// Proposes the counts that the log does not have, every `KEEP_PAUSE`.
     fn keep(&mut self, actions: &mut Vec<MeterAction>, now: Millis) {
         if self.unkept.is_empty() || now < self.kept_at + KEEP_PAUSE {
             return;
@@ -179,7 +193,7 @@
         actions.push(MeterAction::Propose(command));
     }
 
-    /// Closes the oldest open window once all that is to come for it has come.
+    /// Proposes to close the oldest open window, one at a time, if `may_close` allows it.
     fn close(
         &mut self,
         time: WallMillis,
@@ -189,7 +203,7 @@
     ) {
         let windows = self.settings.windows;
         let first = *self.first.get_or_insert_with(|| windows.at(time));
-        if now < self.began + GATHERING_TIME || !self.unkept.is_empty() {
+        if now < self.began + START_PAUSE || !self.unkept.is_empty() {
             return;
         }
         if self.closing.is_some() && ledger.closed_through() < self.closing {
@@ -213,18 +227,23 @@
         actions.push(MeterAction::Propose(UsageCommand::Close(oldest)));
     }
 
+    /// Whether a window may be closed at true time `time`, `now` by the steady clock: its last
+    /// reports have had time to arrive, and no edge that was heard lately may still count in it.
+    /// Edges are no longer waited for after `WAIT_PERCENT` of the time until the report is due,
+    /// so that one edge cannot make it late. All times are in ms.
     fn may_close(&self, window: WindowNumber, time: WallMillis, now: Millis) -> bool {
         let end = self.settings.windows.end(window);
-        if time < end + REPORT_TIME {
+        if time < end + LAST_REPORTS {
             return false;
         }
-        let patience = self.settings.late_ms * WAIT_PERCENT / 100;
+        let longest_wait = self.settings.late_ms * WAIT_PERCENT / 100;
         let mut edges = self.edges.values();
         let is_awaited =
-            |edge: &Edge| edge.open_from <= window && now < edge.heard_at + EDGE_SILENT;
-        time >= end + patience || !edges.any(is_awaited)
+            |edge: &Edge| edge.open_from <= window && now < edge.heard_at + AWAITED_WHILE_SILENT;
+        time >= end + longest_wait || !edges.any(is_awaited)
     }
 
+    /// Sends the oldest report that the platform has not accepted, one at a time.
     fn send(&mut self, ledger: &UsageLedger, now: Millis, actions: &mut Vec<MeterAction>) {
         if self.is_sending || self.is_fenced || now < self.send_from {
             return;
@@ -235,3 +254,15 @@
         }
     }
 }
+
+/// Pause before a report is sent again that failed once more after so many failures in a row, in
+/// ms. It doubles up to a bound: an overloaded platform is not to be loaded further.
+fn resend_pause(failures: u32) -> Millis {
+    let factor = 1_u64.checked_shl(failures).unwrap_or(u64::MAX);
+    let pause = FIRST_RESEND_PAUSE.saturating_mul(factor);
+    pause.min(LONGEST_RESEND_PAUSE)
+}
+
+#[cfg(test)]
+#[path = "../tests/unit/metering.rs"]
+mod tests;
--- a/crates/metering/src/recorder.rs
+++ b/crates/metering/src/recorder.rs
@@ -1,4 +1,4 @@
-//! What an edge counts.
+//! What an edge counts, and what of it the leader does not know yet.
 
 use crate::window::{Counts, WindowNumber, Windows};
 use brasspond_units::WallMillis;
@@ -6,13 +6,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Windows an edge keeps at the most while no leader closes any.
+/// Most windows that an edge keeps while no leader closes any: 10 min of windows of 5 s. Counts
+/// of older ones are dropped with a log line. Not measured.
 const MOST_WINDOWS: usize = 120;
 
-/// What an edge counted: of each window all so far, not what was added.
+/// What an edge counted: for each window all so far, not what was added.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Windows whose counts changed since they were told.
+    /// Windows whose counts changed since the last report.
     pub windows: Vec<(WindowNumber, Counts)>,
     /// Counts of windows before this one will not change any more.
     pub open_from: WindowNumber,
@@ -23,33 +24,37 @@
 pub struct UsageRecorder {
     windows: Windows,
     counts: BTreeMap<WindowNumber, Counts>,
-    /// Windows whose counts the leader does not know.
-    untold: BTreeSet<WindowNumber>,
-    /// Requests at replicas by the window in which they were sent: they may yet count.
+    /// Windows whose counts changed since the last report to the leader.
+    unreported: BTreeSet<WindowNumber>,
+    /// Requests at replicas, by the window in which they were sent and in which they count if they
+    /// run.
     pending: BTreeMap<WindowNumber, usize>,
-    told_open: WindowNumber,
+    /// `open_from` of the last report.
+    reported_open_from: WindowNumber,
 }
 
 impl UsageRecorder {
-    /// Nothing is counted yet.
+    /// A recorder that has counted nothing.
     pub fn new(windows: Windows) -> Self {
         Self {
             windows,
             counts: BTreeMap::new(),
-            untold: BTreeSet::new(),
+            unreported: BTreeSet::new(),
             pending: BTreeMap::new(),
-            told_open: 0,
+            reported_open_from: 0,
         }
     }
 
-    /// A request is sent to a replica; returns the window that it counts in if it runs.
+    /// Records that a request is sent to a replica at `time`; returns the window in which it counts
+    /// if it runs.
     pub fn sent(&mut self, time: WallMillis) -> WindowNumber {
         let window = self.windows.at(time);
         *self.pending.entry(window).or_default() += 1;
         window
     }
 
-    /// What became of a request that was sent: a tenant's that ran counts.
+    /// Records what became of a request of that window: `ran` is the tenant if it ran, or may have
+    /// run. Each call of `sent` needs one of these.
     pub fn settled(&mut self, window: WindowNumber, ran: Option<&Arc<str>>) {
         if let Some(pending) = self.pending.get_mut(&window) {
             *pending -= 1;
@@ -62,7 +67,7 @@
         };
         let counts = self.counts.entry(window).or_default();
         *counts.entry(Arc::clone(tenant)).or_default() += 1;
-        self.untold.insert(window);
+        self.unreported.insert(window);
         while self.counts.len() > MOST_WINDOWS {
             let oldest = self.counts.pop_first();
             log::warn!(
@@ -72,17 +77,17 @@
         }
     }
 
-    /// What the leader does not know yet; none if it knows all.
+    /// The report for the leader at `time`; none if nothing changed since the last one.
     pub fn report(&mut self, time: WallMillis) -> Option<UsageReport> {
         let present = self.windows.at(time);
         let oldest_pending = self.pending.keys().next().copied();
         let open_from = oldest_pending.map_or(present, |oldest| oldest.min(present));
-        if self.untold.is_empty() && open_from == self.told_open {
+        if self.unreported.is_empty() && open_from == self.reported_open_from {
             return None;
         }
-        self.told_open = open_from;
-        let untold = std::mem::take(&mut self.untold);
-        let counts = untold.into_iter().filter_map(|window| {
+        self.reported_open_from = open_from;
+        let unreported = std::mem::take(&mut self.unreported);
+        let counts = unreported.into_iter().filter_map(|window| {
             let counts = self.counts.get(&window)?;
             Some((window, counts.clone()))
         });
@@ -92,15 +97,15 @@
         })
     }
 
-    /// Another leader is to be told everything.
+    /// Has the next report contain everything: it goes to another leader.
     pub fn tell_all(&mut self) {
-        self.untold = self.counts.keys().copied().collect();
-        self.told_open = 0;
+        self.unreported = self.counts.keys().copied().collect();
+        self.reported_open_from = 0;
     }
 
-    /// Windows up to this one are closed: what they hold is of no more use.
+    /// Forgets windows up to this one: they are closed, and counts for them are too late.
     pub fn closed(&mut self, through: WindowNumber) {
         self.counts = self.counts.split_off(&(through + 1));
-        self.untold = self.untold.split_off(&(through + 1));
+        self.unreported = self.unreported.split_off(&(through + 1));
     }
 }
--- a/crates/metering/src/window.rs
+++ b/crates/metering/src/window.rs
@@ -10,21 +10,21 @@
 /// Requests that began to run, by tenant.
 pub type Counts = BTreeMap<Arc<str>, u64>;
 
-/// The division of time into windows.
+/// The division of time into windows of one length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Windows {
     length_ms: u64,
 }
 
 impl Windows {
-    /// Windows of so many ms; at least one.
+    /// Windows of a length in ms; 0 counts as 1.
     pub fn new(length_ms: u64) -> Self {
         Self {
             length_ms: length_ms.max(1),
         }
     }
 
-    /// The window that a time lies in.
+    /// The window that contains a time.
     pub fn at(self, time: WallMillis) -> WindowNumber {
         time / self.length_ms
     }
--- a/crates/metering/tests/clock.rs
+++ b/crates/metering/tests/clock.rs
@@ -11,7 +11,7 @@
 #[rstest]
 #[case::ahead(2_400)]
 #[case::back(-2_400)]
-fn a_third_of_the_clocks_may_jump(#[case] jump: i64) {
+fn median_survives_jumps_of_three_in_ten_clocks(#[case] jump: i64) {
     const MACHINES: u64 = 10;
     let mut clock = FleetClock::default();
     for round in 0..40_u64 {
@@ -23,29 +23,29 @@
             let wall = (START + now) as i64 + own + drift - DELAY as i64;
             clock.note(&format!("machine-{machine}"), wall as u64, now);
         }
-        let told = clock.time(now).expect("ten machines");
-        let error = told.abs_diff(START + now);
+        let time = clock.time(now).expect("ten machines");
+        let error = time.abs_diff(START + now);
         assert!(error <= 8, "{error} ms in round {round}");
     }
 }
 
 #[rstest]
-fn two_machines_tell_no_time() {
+fn two_machines_give_no_time() {
     let mut clock = FleetClock::default();
     clock.note("one", START, 0);
     clock.note("two", START, 0);
     assert_eq!(clock.time(0), None);
     clock.note("three", START, 0);
     assert_eq!(clock.time(100), Some(START + 100));
-    assert_eq!(clock.time(10_000), None, "all were told long ago");
+    assert_eq!(clock.time(10_000), None, "all samples are old");
 }
 
 /// What comes late says little: the sample with the least delay counts.
 #[rstest]
-fn a_late_word_moves_no_clock() {
-    let mut told = LeaderClock::default();
-    assert_eq!(told.time(7, 0), 7, "its own before any was told");
-    told.note(START, 10);
-    told.note(START + 500, 1_400);
-    assert_eq!(told.time(7, 1_500), START + 1_490);
+fn late_message_does_not_move_the_clock() {
+    let mut clock = LeaderClock::default();
+    assert_eq!(clock.time(7, 0), 7, "its own before the leader sent any");
+    clock.note(START, 10);
+    clock.note(START + 500, 1_400);
+    assert_eq!(clock.time(7, 1_500), START + 1_490);
 }
--- a/crates/metering/tests/fuzzing.rs
+++ b/crates/metering/tests/fuzzing.rs
@@ -317,7 +317,7 @@
 
 /// A window is closed late enough for edges that live, so that nothing is missing.
 #[rstest]
-fn reports_are_true_while_edges_live() {
+fn reports_equal_what_ran_while_edges_live() {
     let mut reports = 0;
     for seed in 0..cases() {
         match play(seed, false, Fault::None) {
@@ -329,7 +329,7 @@
 }
 
 #[rstest]
-fn no_report_says_more_than_ran_where_edges_are_killed() {
+fn no_report_exceeds_what_ran_when_edges_are_killed() {
     for seed in 0..cases() {
         if let Err(problem) = play(seed, true, Fault::None) {
             panic!("seed {seed}: {problem}");
@@ -341,7 +341,7 @@
 #[case(Fault::TellsWhatWasAdded)]
 #[case(Fault::SendsBeforeTheLog)]
 #[case(Fault::TellsNewLeadersNothing)]
-fn a_built_in_fault_is_caught(#[case] fault: Fault) {
+fn built_in_fault_is_caught(#[case] fault: Fault) {
     let caught = (0..cases()).any(|seed| play(seed, false, fault).is_err());
     assert!(caught);
 }
--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -1,50 +1,53 @@
-//! What is known of one content.
+//! What is known of one content, and the rule by which it becomes quarantined.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Ends under a content after which it is held. One end may be anybody's doing, and a
-/// replica that ended takes all that it ran with it: two may strike a bystander's retry too.
+/// Number of replicas that end under a content until it is quarantined. A replica that ends takes
+/// all its requests along, most of which did nothing to it; the retry of such a one may meet a
+/// second end by chance, hardly a third. Three is also the bound that callers were promised
+/// (docs/design/0018-quarantine-and-time.md).
 pub const QUARANTINED_AFTER: usize = 3;
-/// Ends from which edges are told of a content, so that an answer to it is noticed: a
-/// content that replicas answer does not end them.
+/// Number of ends from which edges are sent a case. They then report an answer to its content,
+/// which clears it before the last end of `QUARANTINED_AFTER`.
 pub const WATCHED_AFTER: usize = 2;
-/// Replicas that are kept by name for one content.
+/// Most replicas kept by name for one content; further ends change nothing. It bounds the memory
+/// of a case (docs/design/0018-quarantine-and-time.md).
 const MOST_ENDS: usize = 16;
 
-/// What becomes of requests of a content.
+/// What becomes of requests of a content. Serialised by the names of its variants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-enum Standing {
+enum State {
     /// They are sent on.
     #[default]
     Suspected,
-    /// They are not sent to any replica.
+    /// They are sent to no replica: the content is quarantined.
     Held,
-    /// They are sent on again; one more end, and they are held.
+    /// They are sent on again; one more end quarantines the content again.
     OnTrial,
 }
 
 /// A content under which replicas ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Case {
-    /// Lives of replicas, by the name of id and life; each that ended counts.
+    /// Replicas that ended under the content, by the name of id and life.
     ended: BTreeSet<Arc<str>>,
-    standing: Standing,
+    state: State,
 }
 
 impl Case {
-    /// Replicas that ended under the content.
+    /// Number of replicas that ended under the content.
     pub fn ends(&self) -> usize {
         self.ended.len()
     }
 
-    /// Whether no replica is to run the content.
+    /// Whether the content is quarantined: it is sent to no replica.
     pub fn is_quarantined(&self) -> bool {
-        self.standing == Standing::Held
+        self.state == State::Held
     }
 
-    /// Whether edges are told of it.
+    /// Whether edges are sent the case.
     pub fn is_watched(&self) -> bool {
         self.ends() >= WATCHED_AFTER
     }
@@ -54,21 +57,21 @@
         self.ended.contains(replica)
     }
 
-    /// A replica ended under the content. An end that is known changes nothing.
-    pub(crate) fn note_end(&mut self, replica: &Arc<str>) {
+    /// Records that a replica ended under the content. An end that is known changes nothing.
+    pub(crate) fn record_end(&mut self, replica: &Arc<str>) {
         let is_new = self.ended.len() < MOST_ENDS && self.ended.insert(Arc::clone(replica));
         if !is_new {
             return;
         }
-        if self.standing == Standing::OnTrial || self.ends() >= QUARANTINED_AFTER {
-            self.standing = Standing::Held;
+        if self.state == State::OnTrial || self.ends() >= QUARANTINED_AFTER {
+            self.state = State::Held;
         }
     }
 
-    /// The content may be sent on again.
+    /// Ends the quarantine: the content may be sent on until one more replica ends under it.
     pub(crate) fn try_again(&mut self) {
         if self.is_quarantined() {
-            self.standing = Standing::OnTrial;
+            self.state = State::OnTrial;
         }
     }
 }
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,14 +1,15 @@
-//! What a request asks for, as a short digest.
+//! The content of a request, and its digest.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Bytes of a digest: enough that no two contents of a fleet meet.
+/// Length of a digest: with 128 bits two contents of a fleet do not share one by chance.
 const DIGEST_BYTES: usize = 16;
-/// Bytes of a digest that are shown in logs.
+/// Bytes of a digest in logs: enough to find one content among those of a deployment.
 const SHOWN_BYTES: usize = 8;
 
-/// What a request asks for, whoever sends it on and under whichever identity.
+/// What a request asks for. Its id and its other headers are left out: they differ from try to
+/// try.
 #[derive(Clone, Copy, Debug)]
 pub struct Content<'a> {
     /// Method, as in `POST`.
@@ -23,7 +24,7 @@
     pub body: &'a [u8],
 }
 
-/// The BLAKE3 digest of a [`Content`]. Bodies themselves are kept nowhere for this.
+/// The BLAKE3 digest of a [`Content`]. No body is kept or logged.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(#[serde(with = "serde_bytes")] [u8; DIGEST_BYTES]);
 
@@ -40,7 +41,8 @@
             content.body,
         ];
         for part in parts {
-            // With lengths, so that no byte passes from one part into the next.
+            // With its length: otherwise two contents whose parts are split at different places
+            // would have one digest.
             hasher.update(&(part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
--- a/crates/quarantine/src/keeper.rs
+++ b/crates/quarantine/src/keeper.rs
@@ -1,4 +1,4 @@
-//! What the leader decides: which reported ends count, when a held content is tried again,
+//! The leader's decisions: which reported ends count, when a quarantined content is tried again,
 //! when a content is forgotten.
 
 use crate::case::QUARANTINED_AFTER;
@@ -8,37 +8,39 @@
 use brasspond_units::Millis;
 use std::collections::BTreeMap;
 
-/// Time for which a content is held at first, in ms; it doubles with each more end. Each
-/// trial may cost a replica: with this and the doubling, four in the first hour.
+/// Length of a content's first quarantine, in ms; each further end doubles it. Each trial may
+/// cost a replica: these lengths cost four in the first hour
+/// (docs/design/0018-quarantine-and-time.md).
 pub const FIRST_HOLD: Millis = 120_000;
-/// Longest time for which a content is held, in ms.
+/// Longest quarantine, in ms: a release that no longer ends replicas is noticed within an hour.
 const LONGEST_HOLD: Millis = 3_600_000;
-/// Time after which a content that is not held is forgotten, in ms.
-const LIFE: Millis = 600_000;
-/// Time by which reports of edges may be off, in ms: their way to the leader.
-const SLACK: Millis = 10;
+/// Time without a change after which a content that is not quarantined is forgotten, in ms. Not
+/// measured.
+const FORGET_AFTER: Millis = 600_000;
+/// Longest way of a report to the leader, by which its times may be off, in ms. Not measured.
+const REPORT_DELAY: Millis = 10;
 
 /// A case as it was when the leader last saw it change.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct SeenCase {
     ends: usize,
     is_quarantined: bool,
+    /// When the leader saw that change.
     since: Millis,
 }
 
-/// The leader's part. Times begin anew with each leader, so that a content is held for
-/// longer then, never for less.
+/// The leader's part. It is lost with the leader: the next one counts a quarantine from its own
+/// start, so that it may last longer, never shorter.
 #[derive(Debug, Default)]
 pub struct Keeper {
-    seen: BTreeMap<Fingerprint, Seen>,
+    seen: BTreeMap<Fingerprint, SeenCase>,
     /// When a replica last ended under a content, of the ends that count.
     last_ends: BTreeMap<Fingerprint, Millis>,
 }
 
 impl Keeper {
-    /// Takes what an edge reported. An end counts if its run began after the last end
-    /// that counts: replicas that end together, as hosts or a whole service do, say little
-    /// of what each of them happened to run.
+    /// Accepts ends that an edge reported at `now` and returns the changes for the log. An end
+    /// that is already in the log, or that does not count (`is_separate`), is left out.
     pub fn reported(
         &mut self,
         reports: Vec<EndReport>,
@@ -53,8 +55,8 @@
             }
             let ended_at = now.saturating_sub(report.ago_ms);
             let begun_at = ended_at.saturating_sub(report.ran_ms);
-            let last = self.last_ends.get(&report.content);
-            if last.is_some_and(|last| begun_at + SLACK < *last) {
+            let last_end = self.last_ends.get(&report.content);
+            if !is_separate(begun_at, last_end.copied()) {
                 continue;
             }
             self.last_ends.insert(report.content, ended_at);
@@ -63,24 +65,25 @@
         changes
     }
 
-    /// A replica answered a content.
+    /// Accepts that a replica answered a content; returns the change for the log, if it has a case.
     pub fn answered(&mut self, content: Fingerprint, ledger: &Ledger) -> Option<Change> {
         self.last_ends.remove(&content);
         ledger.case(content).map(|_| Change::Answered(content))
     }
 
-    /// Lets time pass.
+    /// Returns the changes that are due at `now`: trials of quarantined contents, and contents to
+    /// forget.
     pub fn tick(&mut self, ledger: &Ledger, now: Millis) -> Vec<Change> {
         self.seen
             .retain(|content, _| ledger.case(*content).is_some());
         let seen = &self.seen;
         self.last_ends.retain(|content, at| {
             let is_known = seen.contains_key(content);
-            is_known || now < *at + LIFE
+            is_known || now < *at + FORGET_AFTER
         });
         let mut changes = Vec::new();
         for (content, case) in ledger.cases() {
-            let present = Seen {
+            let present = SeenCase {
                 ends: case.ends(),
                 is_quarantined: case.is_quarantined(),
                 since: now,
@@ -92,7 +95,7 @@
             let age = now.saturating_sub(seen.since);
             if case.is_quarantined() && age >= hold_time(case.ends()) {
                 changes.push(Change::Try(content));
-            } else if !case.is_quarantined() && age >= LIFE {
+            } else if !case.is_quarantined() && age >= FORGET_AFTER {
                 changes.push(Change::Forget(content));
             }
         }
@@ -100,7 +103,15 @@
     }
 }
 
-/// Time for which a content is held under which so many replicas ended.
+/// Whether an end counts whose run began at `begun_at`: only if the run began after the last end
+/// that counts. Replicas that end together, with their host or their whole service, say nothing
+/// about the contents that they ran. Times are in ms of the leader's clock, computed from ages in
+/// the report; without a known last end the end counts.
+fn is_separate(begun_at: Millis, last_end: Option<Millis>) -> bool {
+    last_end.is_none_or(|last_end| begun_at + REPORT_DELAY >= last_end)
+}
+
+/// Length of the quarantine of a content under which so many replicas ended, in ms.
 fn hold_time(ends: usize) -> Millis {
     let doublings = u32::try_from(ends.saturating_sub(QUARANTINED_AFTER)).unwrap_or(u32::MAX);
     let factor = 1_u64.checked_shl(doublings).unwrap_or(u64::MAX);
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -1,8 +1,7 @@
-//! What the log keeps of contents under which replicas ended.
+//! Cases of all contents under which replicas ended, as the log keeps them.
 //!
-//! Invariants: every member that applied the same changes holds the same cases; a held
-//! content stays held until a change says otherwise; there are never more than
-//! [`MOST_CASES`].
+//! Invariants: members that applied the same changes have the same cases; a quarantined content
+//! stays so until a change ends it; there are never more than [`MOST_CASES`].
 
 use crate::case::Case;
 use crate::fingerprint::Fingerprint;
@@ -10,19 +9,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Cases that are kept: 100 KB of memory and of a whole list to an edge.
+/// Most cases kept: 100 KB of memory, and as much for a whole list to an edge
+/// (docs/design/0018-quarantine-and-time.md).
 const MOST_CASES: usize = 1_024;
 
-/// A change of what is kept.
+/// A change of a case.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// A replica, by the name of its id and life, ended under a content.
     Ended(Fingerprint, Arc<str>),
     /// A replica answered a content.
     Answered(Fingerprint),
-    /// A held content may be sent on again.
+    /// A quarantined content may be sent on again.
     Try(Fingerprint),
-    /// Nothing was heard of a content for long.
+    /// A content's case did not change for long: it goes.
     Forget(Fingerprint),
 }
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     cases: BTreeMap<Fingerprint, Case>,
-    /// Those of them that are held: asked for with each item that is started.
+    /// Contents that are quarantined, kept apart because each start of an item asks.
     held: BTreeSet<Fingerprint>,
 }
 
@@ -52,7 +52,7 @@
         let content = change.content();
         match change {
             Change::Ended(_, replica) => {
-                self.cases.entry(content).or_default().note_end(&replica);
+                self.cases.entry(content).or_default().record_end(&replica);
                 self.make_room();
             }
             Change::Answered(_) | Change::Forget(_) => {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Drops what says least: contents that are not held first, of few ends before many.
+    /// Drops cases beyond `MOST_CASES`: those that are not quarantined first, and of these the ones
+    /// with the fewest ends.
     fn make_room(&mut self) {
         while self.cases.len() > MOST_CASES {
             let least = self
@@ -86,7 +87,7 @@
         }
     }
 
-    /// What is known of a content.
+    /// The case of a content; none: no replica ended under it.
     pub fn case(&self, content: Fingerprint) -> Option<&Case> {
         self.cases.get(&content)
     }
@@ -96,17 +97,17 @@
         self.cases.iter().map(|(content, case)| (*content, case))
     }
 
-    /// Whether any content is held: else nobody needs to look one up.
+    /// Whether any content is quarantined; if none is, callers need no fingerprint.
     pub fn holds_any(&self) -> bool {
         !self.held.is_empty()
     }
 
-    /// Whether no replica is to run a content.
+    /// Whether a content is quarantined: it is sent to no replica.
     pub fn is_quarantined(&self, content: Fingerprint) -> bool {
         self.held.contains(&content)
     }
 
-    /// How many contents are held.
+    /// How many contents are quarantined.
     pub fn held(&self) -> usize {
         self.held.len()
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -6,15 +6,16 @@
 //!    └────────────────────────────────────────────────────────┘
 //! ```
 //!
-//! Two requests are of one content when they ask for the same path of the same host, for
-//! the same tenant, with the same method and body; their identities differ. An edge whose
-//! connection broke under a request, and whose replica's address refuses new connections
-//! right after, reports an end. A content under which [`QUARANTINED_AFTER`] replicas ended, one
-//! after the other and with no answer in between, is held: no edge sends it to a replica.
-//! After a while it is tried again, and held for twice as long where that ends a replica.
+//! Two requests have the same content if method, host, path, tenant and body are equal; their
+//! ids differ. An edge reports the end of a replica if its connection broke under a request and
+//! the replica's address then refuses new connections. A content under which
+//! [`QUARANTINED_AFTER`] replicas ended, one after the other and with no answer in between, is
+//! quarantined: no edge sends it to a replica. After [`FIRST_HOLD`] it is tried again; if that
+//! ends a replica, the next quarantine lasts twice as long.
 //!
-//! What is held lies in the log, so that neither the loss of an edge nor of the leader
-//! lets a content end replicas from the beginning.
+//! Cases are kept by the log, so that the loss of an edge or of the leader does not let a content
+//! end replicas from the start again. The rules on what counts and for how long are in `keeper`
+//! and `case`.
 //!
 //! Nothing here does I/O: `(state, event, now) -> changes`.
 #![forbid(unsafe_code)]
--- a/crates/quarantine/src/recorder.rs
+++ b/crates/quarantine/src/recorder.rs
@@ -1,4 +1,4 @@
-//! What an edge knows of contents under which replicas ended.
+//! Cases as an edge knows them: from the leader, and from ends that it saw itself.
 
 use crate::case::Case;
 use crate::fingerprint::Fingerprint;
@@ -7,17 +7,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Time for which an edge keeps what it saw itself, in ms: elections are over by then, and
-/// a leader has it in the log.
-const OWN_LIFE: Millis = 60_000;
-/// Contents of which an edge keeps what it saw itself. A replica that ends takes all that
-/// it ran with it, so that one end brings some tens.
+/// Time for which an edge keeps an end that it saw, in ms. By then any election is over and a
+/// leader has the end in the log. Not measured.
+const OWN_KEPT_FOR: Millis = 60_000;
+/// Most contents of which an edge keeps ends that it saw. One end brings as many contents as the
+/// replica had requests, some tens (docs/design/0018-quarantine-and-time.md).
 const MOST_OWN: usize = 512;
 
-/// A replica that ended while it ran a request.
+/// The end of a replica while it ran a request, as an edge saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndReport {
-    /// What it ran.
+    /// Content of the request.
     pub content: Fingerprint,
     /// Name of the replica's id and life.
     pub replica: Arc<str>,
@@ -27,12 +27,12 @@
     pub ago_ms: Millis,
 }
 
-/// What a leader tells of contents: all that it tells of, or what changed.
+/// Cases as the leader sends them to edges: all that are watched, or those that changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CasesUpdate {
-    /// It names all.
+    /// Whether these are all watched cases, so that any other is gone.
     pub is_whole: bool,
-    /// Contents by what is known of them now; none: nothing any more.
+    /// Contents with their cases; none: there is no case any more.
     pub cases: Vec<(Fingerprint, Option<Case>)>,
 }
 
@@ -40,41 +40,46 @@
 #[derive(Clone, Debug, Default)]
 struct Own {
     case: Case,
-    /// Reports, with the time of the end of each.
+    /// Reports, each with the time of the end.
     reports: Vec<(EndReport, Millis)>,
+    /// Time of the last end that counts.
     ended_at: Millis,
 }
 
 /// An edge's part.
 #[derive(Debug, Default)]
 pub struct Recorder {
-    told: BTreeMap<Fingerprint, Case>,
+    /// Cases from the leader.
+    known: BTreeMap<Fingerprint, Case>,
+    /// Ends that this edge saw lately.
     own: BTreeMap<Fingerprint, Own>,
 }
 
 impl Recorder {
-    /// Whether nothing is known of any content, so that none needs to be looked up.
+    /// Whether there is no case at all, so that a request needs no fingerprint.
     pub fn is_idle(&self) -> bool {
-        self.told.is_empty() && self.own.is_empty()
+        self.known.is_empty() && self.own.is_empty()
     }
 
-    /// Whether a content is not to be sent to any replica: a leader says so, or this edge
-    /// saw enough itself.
+    /// Whether a content is quarantined, by the leader's cases or by the ends that this edge saw.
+    /// Each suffices: an edge that hears no leader still stops what ends its replicas.
     pub fn is_quarantined(&self, content: Fingerprint) -> bool {
-        let told = self.told.get(&content);
+        let known = self.known.get(&content);
         let own = self.own.get(&content);
-        told.is_some_and(Case::is_quarantined) || own.is_some_and(|own| own.case.is_quarantined())
+        known.is_some_and(Case::is_quarantined) || own.is_some_and(|own| own.case.is_quarantined())
     }
 
-    /// Contents that are held, as far as a leader told.
+    /// How many contents are quarantined by the leader's cases.
     pub fn held(&self) -> usize {
-        self.told
+        self.known
             .values()
             .filter(|case| case.is_quarantined())
             .count()
     }
 
-    /// A replica ended under a content. Returns whether anything new was seen.
+    /// Records that a replica ended under a content; whether that is new, so that the leader needs
+    /// the report. An end counts towards quarantine here only if its run began after the last one
+    /// that counts; a report goes to the leader in any case.
     pub fn note_end(&mut self, report: EndReport, now: Millis) -> bool {
         let ended_at = now.saturating_sub(report.ago_ms);
         let begun_at = ended_at.saturating_sub(report.ran_ms);
@@ -86,14 +91,14 @@
             return false;
         }
         if begun_at >= own.ended_at {
-            own.case.note_end(&report.replica);
+            own.case.record_end(&report.replica);
             own.ended_at = ended_at;
         }
         own.reports.push((report, ended_at));
         true
     }
 
-    /// All ends that this edge saw lately, for a new leader.
+    /// All ends that this edge saw lately, with their ages at `now`, for a new leader.
     pub fn reports(&self, now: Millis) -> Vec<EndReport> {
         let reports = self.own.values().flat_map(|own| &own.reports);
         let aged = reports.map(|(report, ended_at)| EndReport {
@@ -103,27 +108,28 @@
         aged.collect()
     }
 
-    /// Takes what a leader tells.
-    pub fn take(&mut self, told: CasesUpdate) {
-        if told.is_whole {
-            self.told.clear();
+    /// Applies cases from the leader.
+    pub fn take(&mut self, update: CasesUpdate) {
+        if update.is_whole {
+            self.known.clear();
         }
-        for (content, case) in told.cases {
+        for (content, case) in update.cases {
             match case {
-                Some(case) => self.told.insert(content, case),
-                None => self.told.remove(&content),
+                Some(case) => self.known.insert(content, case),
+                None => self.known.remove(&content),
             };
         }
     }
 
-    /// A replica answered a content. Returns whether that is news to the leader.
+    /// Records that a replica answered a content; whether the leader needs to know, because there
+    /// is a case.
     pub fn answered(&mut self, content: Fingerprint) -> bool {
         let is_own = self.own.remove(&content).is_some();
-        is_own || self.told.contains_key(&content)
+        is_own || self.known.contains_key(&content)
     }
 
-    /// Lets time pass.
+    /// Forgets ends that are older than `OWN_KEPT_FOR` at `now`.
     pub fn tick(&mut self, now: Millis) {
-        self.own.retain(|_, own| now < own.ended_at + OWN_LIFE);
+        self.own.retain(|_, own| now < own.ended_at + OWN_KEPT_FOR);
     }
 }
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is held, for how long, and what is not: by the leader's part and the log's.
+//! Which contents are quarantined and for how long, by the leader and by an edge.
 
 use brasspond_quarantine::{
     CasesUpdate, Change, Content, EndReport, FIRST_HOLD, Fingerprint, Keeper, Ledger,
@@ -59,38 +59,38 @@
         self.apply(changes);
     }
 
-    fn holds(&self, body: &str) -> bool {
+    fn is_quarantined(&self, body: &str) -> bool {
         self.ledger.is_quarantined(content(body))
     }
 
-    /// Ends one replica after the other until the content is held; returns the time.
-    fn hold(&mut self, body: &str) -> Millis {
+    /// Ends one replica after the other until the content is quarantined; returns the time.
+    fn quarantine(&mut self, body: &str) -> Millis {
         let mut now = TRY;
         for number in 0..QUARANTINED_AFTER {
-            assert!(!self.holds(body));
+            assert!(!self.is_quarantined(body));
             self.reported(end(body, &format!("replica-{number}")), now);
             now += TRY;
         }
-        assert!(self.holds(body));
+        assert!(self.is_quarantined(body));
         now
     }
 }
 
 #[rstest]
-fn a_content_is_held_after_three_ends() {
+fn content_is_quarantined_after_three_ends() {
     let mut leader = Leader::default();
-    leader.hold("ends");
-    assert!(!leader.holds("another"));
+    leader.quarantine("ends");
+    assert!(!leader.is_quarantined("another"));
 }
 
 /// Several edges report one end, and report it again to a new leader.
 #[rstest]
-fn an_end_told_twice_counts_once() {
+fn end_reported_twice_counts_once() {
     let mut leader = Leader::default();
     for turn in 0..QUARANTINED_AFTER as u64 + 2 {
         leader.reported(end("ends", "replica-0"), TRY * (turn + 1));
     }
-    assert!(!leader.holds("ends"));
+    assert!(!leader.is_quarantined("ends"));
 }
 
 /// A whole service that ends at once says nothing of the content that all its replicas
@@ -101,7 +101,7 @@
     for number in 0..10 {
         leader.reported(end("popular", &format!("replica-{number}")), TRY + number);
     }
-    assert!(!leader.holds("popular"));
+    assert!(!leader.is_quarantined("popular"));
     let mut edge = Recorder::default();
     for number in 0..10 {
         edge.note_end(end("popular", &format!("replica-{number}")), TRY + number);
@@ -110,29 +110,29 @@
 }
 
 #[rstest]
-fn an_answer_clears_a_content() {
+fn answer_clears_a_content() {
     let mut leader = Leader::default();
     for number in 0..20 {
         leader.reported(end("popular", &format!("replica-{number}")), TRY * number);
         leader.answered("popular");
-        assert!(!leader.holds("popular"));
+        assert!(!leader.is_quarantined("popular"));
     }
 }
 
 #[rstest]
-fn a_held_content_is_tried_again_and_held_for_twice_as_long() {
+fn quarantined_content_is_tried_again_and_next_quarantine_lasts_twice_as_long() {
     let mut leader = Leader::default();
-    let mut now = leader.hold("ends");
+    let mut now = leader.quarantine("ends");
     let mut hold = FIRST_HOLD;
     for number in 0..3 {
         leader.tick(now);
         leader.tick(now + hold - 1);
-        assert!(leader.holds("ends"));
+        assert!(leader.is_quarantined("ends"));
         now += hold;
         leader.tick(now);
-        assert!(!leader.holds("ends"), "tried again");
+        assert!(!leader.is_quarantined("ends"), "tried again");
         leader.reported(end("ends", &format!("later-{number}")), now + TRY);
-        assert!(leader.holds("ends"), "one more end is enough");
+        assert!(leader.is_quarantined("ends"), "one more end is enough");
         now += TRY;
         hold *= 2;
     }
@@ -142,19 +142,19 @@
     assert_eq!(leader.ledger.cases().count(), 0);
 }
 
-/// A new leader knows the log and no times: what is held stays held for longer.
+/// A new leader knows the log and no times: the quarantine lasts longer.
 #[rstest]
-fn a_new_leader_holds_on() {
+fn quarantine_outlasts_a_change_of_leader() {
     let mut leader = Leader::default();
-    leader.hold("ends");
+    leader.quarantine("ends");
     leader.keeper = Keeper::default();
     leader.tick(0);
     leader.tick(FIRST_HOLD - 1);
-    assert!(leader.holds("ends"));
+    assert!(leader.is_quarantined("ends"));
 }
 
 #[rstest]
-fn what_is_not_heard_of_again_is_forgotten() {
+fn case_without_change_is_forgotten() {
     const LONG: Millis = 3_600_000;
     let mut leader = Leader::default();
     leader.reported(end("bystander", "replica-0"), TRY);
@@ -163,21 +163,21 @@
     assert_eq!(leader.ledger.cases().count(), 0);
 }
 
-/// Bystanders of thousands of ends push no held content out.
+/// Bystanders of thousands of ends push no quarantined content out.
 #[rstest]
-fn held_contents_outlast_bystanders() {
+fn quarantined_contents_stay_when_room_is_made() {
     let mut leader = Leader::default();
-    leader.hold("ends");
+    leader.quarantine("ends");
     for number in 0..5_000 {
         leader.reported(end(&format!("bystander {number}"), "replica-9"), TRY * 9);
     }
-    assert!(leader.holds("ends"));
+    assert!(leader.is_quarantined("ends"));
     assert!(leader.ledger.cases().count() <= 1_024);
 }
 
-/// An edge without a leader holds what it saw itself.
+/// An edge without a leader goes by the ends that it saw.
 #[rstest]
-fn an_edge_alone_holds_what_it_saw() {
+fn edge_without_leader_quarantines_by_ends_it_saw() {
     let mut edge = Recorder::default();
     for number in 0..QUARANTINED_AFTER {
         assert!(!edge.is_quarantined(content("ends")));
@@ -194,20 +194,20 @@
 }
 
 #[rstest]
-fn an_edge_holds_what_it_is_told() {
+fn edge_quarantines_by_cases_from_the_leader() {
     let mut leader = Leader::default();
-    leader.hold("ends");
-    let told = |is_whole, ledger: &Ledger| CasesUpdate {
+    leader.quarantine("ends");
+    let update = |is_whole, ledger: &Ledger| CasesUpdate {
         is_whole,
         cases: vec![(content("ends"), ledger.case(content("ends")).cloned())],
     };
     let mut edge = Recorder::default();
-    edge.take(told(true, &leader.ledger));
+    edge.take(update(true, &leader.ledger));
     assert!(edge.is_quarantined(content("ends")));
     assert_eq!(edge.held(), 1);
     assert!(edge.answered(content("ends")), "news to the leader");
     assert!(!edge.answered(content("another")));
     leader.answered("ends");
-    edge.take(told(false, &leader.ledger));
+    edge.take(update(false, &leader.ledger));
     assert!(!edge.is_quarantined(content("ends")));
 }
