--- a/crates/eligibility/src/work.rs
+++ b/crates/eligibility/src/work.rs
@@ -67,7 +67,7 @@
 }
 
 impl Unfit {
-    /// Name for logs and metrics; that of quarantined contents is older than the word.
+    /// Name for logs and metrics; a quarantined content is `held` there.
     pub fn name(self) -> &'static str {
         match self {
             Self::Quarantined => "held",
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -37,7 +37,7 @@
     pub weight: u32,
 }
 
-/// A way from callers to services.
+/// Which requests go to which services, and how they may be treated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Name, for logs and metrics.
@@ -48,9 +48,9 @@
     pub prefix: String,
     /// How requests may be treated.
     pub kind: RouteKind,
-    /// Longest time a request may be held, in ms.
+    /// Longest time until a request is answered, in ms.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most, in ms.
+    /// Objective for the time until an answer, in ms.
     pub objective_ms: u64,
     /// Rank; 0 is the most urgent.
     pub priority: u32,
@@ -60,13 +60,13 @@
     pub max_attempts: u32,
     /// Whether a stream may be taken up by another replica.
     pub resumable: bool,
-    /// Whether one version must make a whole sample.
+    /// Whether one version must make the whole text of an item.
     pub single_version: bool,
-    /// Time after which an item of a job may be given up, in ms.
+    /// Time after which an item that does not run is given up, in ms; 0: none.
     pub max_queue_ms: u64,
     /// Time by which a job's results are due, in ms.
     pub due_ms: u64,
-    /// Callers need no key.
+    /// Whether callers need no key.
     #[serde(default)]
     pub is_public: bool,
     /// Where its requests may be served and kept.
@@ -74,21 +74,21 @@
     pub regions: Regions,
 }
 
-/// A service: replicas that answer alike.
+/// A service: replicas that are interchangeable.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Name.
     pub name: String,
     /// Connections a replica takes from all callers together.
     pub max_connections: u32,
-    /// Requests an engine of this service batches; 0 where it is no engine.
+    /// Requests that a replica of this service batches; 0 where it is no model server.
     pub engine_slots: u32,
-    /// Models its engines hold.
+    /// Models that its replicas may serve.
     pub models: Vec<String>,
-    /// How its number of replicas may be ordered; none: it may not.
+    /// Bounds and prices for the autoscaler; none: the number of replicas is not changed.
     #[serde(default)]
     pub scaling: Option<Scaling>,
-    /// What its replicas bear after a start; none: all that they bear later.
+    /// What its replicas bear while they warm up; none: as much as later.
     #[serde(default)]
     pub warm_up: Option<WarmUp>,
 }
@@ -117,7 +117,8 @@
     pub zone_prices: BTreeMap<Arc<str>, f64>,
 }
 
-/// Bounds on what a caller may send.
+/// Bounds on what a caller may send. The defaults apply until a configuration names others; not
+/// measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// Bytes of a request's head.
@@ -126,7 +127,7 @@
     pub body_bytes: usize,
     /// Time for the head to arrive, in ms.
     pub header_timeout_ms: u64,
-    /// Time a connection may rest, in ms.
+    /// Time for which a connection may be idle, in ms.
     pub idle_timeout_ms: u64,
 }
 
@@ -152,7 +153,7 @@
     pub services: Vec<Service>,
     /// Bounds on callers.
     pub limits: Limits,
-    /// Who may call; where there are none, no call needs a key.
+    /// Tenants; where there are none, no call needs a key.
     #[serde(default)]
     pub tenants: Vec<Arc<Tenant>>,
 }
@@ -168,7 +169,7 @@
         fitting.max_by_key(|route| route.prefix.len())
     }
 
-    /// Where requests of a route may be served and kept that are made for a tenant: both bind.
+    /// Where requests of a route for a tenant may be served and kept: in regions that both allow.
     pub fn regions_of(&self, route: &Route, tenant: Option<&str>) -> Regions {
         let tenant = tenant.and_then(|name| self.tenants.iter().find(|one| *one.name == *name));
         match tenant {
@@ -188,15 +189,15 @@
     host.split(':').next().unwrap_or(host)
 }
 
-/// The target for the `count`-th request of a route. Over any run of requests each
-/// target's share is near its weight's: the multiples of the golden ratio's
-/// fraction spread evenly over the line on which the weights lie.
+/// The target for the `count`-th request of a route; none where there are no targets. In any
+/// sequence of requests each target's share is near its weight's, as multiples of the golden ratio
+/// modulo 1 are spread evenly.
 pub fn choose_target(targets: &[Target], count: u64) -> Option<&Target> {
     let total: u64 = targets.iter().map(|target| u64::from(target.weight)).sum();
     if total == 0 || targets.len() == 1 {
         return targets.first();
     }
-    // 2^64 / golden ratio.
+    // 2^64 / golden ratio: multiples modulo 1, as fractions of 2^64.
     const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
     let fraction = u128::from(count.wrapping_mul(STEP));
     let mut point = ((fraction * u128::from(total)) >> 64) as u64;
--- a/crates/fleet/src/delta.rs
+++ b/crates/fleet/src/delta.rs
@@ -1,15 +1,15 @@
-//! Differences between two views, so that a change costs what it changes and
-//! not what the fleet holds.
+//! Differences between two views, so that the bytes sent for a change depend on the change and not
+//! on the size of the fleet.
 
 use crate::configuration::Configuration;
-use crate::view::{FleetView, ReplicaInfo, Retirement};
+use crate::view::{FleetView, ReplicaInfo, Retirement, replace_older};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What changed between two views. Applied to a view whose replicas are as of
-/// `base`, it gives the newer view. (Not to one in between: a replica that came
-/// and went since `base` stands in neither view.)
+/// What changed between two views. Applied to a view whose replicas are of revision `base` it gives
+/// the newer view. It cannot be applied to a view between the two: that one may have a replica
+/// which came and went since `base`, and which the difference does not name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ViewDelta {
     /// Revision of the replicas in the older view.
@@ -18,7 +18,7 @@
     pub configuration: Option<(u64, Arc<Configuration>)>,
     /// Replicas that came or changed.
     pub changed: Vec<ReplicaInfo>,
-    /// Identities of replicas that went.
+    /// Ids of replicas that went.
     pub gone: Vec<String>,
     /// Revision of the replicas in the newer view.
     pub replicas_revision: u64,
@@ -30,7 +30,7 @@
     pub evacuated: Option<(u64, Arc<BTreeSet<Arc<str>>>)>,
 }
 
-/// The view is not the difference's base: it needs a whole view.
+/// The view is not the difference's base: a whole view is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OtherBase;
 
@@ -52,8 +52,8 @@
         if self.retirements != older.retirements {
             delta.retirements = Some((self.retirements_revision, Arc::clone(&self.retirements)));
         }
-        // Also where the zones are the same: who saw a change in between, which was taken back
-        // before this difference was made, would keep to it.
+        // Also where the zones are the same: a process that knows a change in between, which was
+        // undone before this difference was made, must learn of that.
         if self.evacuated_revision > older.evacuated_revision {
             delta.evacuated = Some((self.evacuated_revision, Arc::clone(&self.evacuated)));
         }
@@ -68,7 +68,7 @@
         delta
     }
 
-    /// Whether the replicas here and in `other` take work alike.
+    /// Whether the replicas here and in `other` are the same but for the weights that they serve.
     fn takes_work_like(&self, other: &Self) -> bool {
         if Arc::ptr_eq(&self.replicas, &other.replicas) {
             return true;
@@ -78,8 +78,8 @@
             && pairs.all(|(one, other)| one.0 == other.0 && one.1.takes_work_like(other.1))
     }
 
-    /// Whether nothing of `older` has changed that edges act on: versions are the
-    /// leader's concern alone.
+    /// Whether nothing has changed since `older` that edges act on; only the leader acts on
+    /// versions.
     pub fn is_alike_for_edges(&self, older: &Self) -> bool {
         self.configuration_revision == older.configuration_revision
             && self.evacuates_like(older)
@@ -92,9 +92,9 @@
         is_known == (other.evacuated_revision > 0) && self.evacuated == other.evacuated
     }
 
-    /// Whether anything here is newer than in `other` and says something else.
-    /// Revisions alone rise without a change, and which weights replicas hold their
-    /// loader knows.
+    /// Whether any part here is of a higher revision than in `other` and differs from it. Revisions
+    /// may rise without a change, and a change of the weights that replicas serve is no news: the
+    /// leader, which has them loaded, knows it.
     pub fn has_news_for(&self, other: &Self) -> bool {
         let replicas =
             self.replicas_revision > other.replicas_revision && !self.takes_work_like(other);
@@ -108,7 +108,7 @@
         configuration || replicas || versions || retirements || evacuated
     }
 
-    /// Takes a difference; returns whether anything changed.
+    /// Applies a difference; returns whether anything changed.
     ///
     /// # Errors
     /// [`OtherBase`]: the replicas known here are others than the difference
@@ -123,7 +123,7 @@
             self.replicas_revision = delta.replicas_revision;
             changed = true;
             if !delta.changed.is_empty() || !delta.gone.is_empty() {
-                // In place where nobody else holds this map: it may hold thousands.
+                // In place where this map is not shared: it may have thousands of entries.
                 let replicas = Arc::make_mut(&mut self.replicas);
                 for id in &delta.gone {
                     replicas.remove(id);
@@ -136,55 +136,51 @@
         Ok(changed)
     }
 
-    /// Takes a difference of what another process tells; `told` is all that it told, this
-    /// difference included. Returns whether anything changed.
+    /// Applies a difference that another process sent; `known` is that process's view as far as it
+    /// is known here, this difference included. Returns whether anything changed.
     ///
-    /// Who knows more than a new leader, whose first view is an old copy, is at neither end of
-    /// the leader's next difference: it takes the newer view out of what it was told. Asking
-    /// for a whole one instead made 250 edges be sent 100 MB at once (3,000 replicas, measured
-    /// at the leader's links), 1.3 s of its link, and the next election fell due meanwhile.
+    /// A process that knows more than a new leader, whose first view may be an old copy, is at
+    /// neither end of the leader's next difference: it merges `known` instead. If each such edge
+    /// asked for a whole view, the leader would send 100 MB at once (250 edges, 3,000 replicas; 1.3 s
+    /// of its link), and its heartbeats would be late.
     ///
     /// # Errors
-    /// [`OtherBase`]: nor was a view told that the difference ends with.
-    pub fn follow(&mut self, delta: &ViewDelta, told: Option<&Self>) -> Result<bool, OtherBase> {
+    /// [`OtherBase`]: `known` does not reach the end of the difference either.
+    pub fn follow(&mut self, delta: &ViewDelta, known: Option<&Self>) -> Result<bool, OtherBase> {
         let applied = self.apply(delta);
-        let told = told.filter(|told| told.replicas_revision >= delta.replicas_revision);
-        match (applied, told) {
-            (Err(OtherBase), Some(told)) => Ok(self.merge(told)),
+        let known = known.filter(|known| known.replicas_revision >= delta.replicas_revision);
+        match (applied, known) {
+            (Err(OtherBase), Some(known)) => Ok(self.merge(known)),
             (applied, _) => applied,
         }
     }
 
-    /// Takes the parts of a difference that come whole, those that are newer.
+    /// Takes the parts of a difference that it has whole, if they are of higher revisions.
     fn apply_parts(&mut self, delta: &ViewDelta) -> bool {
         let mut changed = false;
-        if let Some((revision, configuration)) = &delta.configuration
-            && *revision > self.configuration_revision
-        {
-            self.configuration = Some(Arc::clone(configuration));
-            self.configuration_revision = *revision;
-            changed = true;
+        if let Some((revision, configuration)) = &delta.configuration {
+            changed |= replace_older(
+                (&mut self.configuration, &mut self.configuration_revision),
+                (&Some(Arc::clone(configuration)), *revision),
+            );
         }
-        if let Some((revision, versions)) = &delta.versions
-            && *revision > self.versions_revision
-        {
-            self.versions = Arc::clone(versions);
-            self.versions_revision = *revision;
-            changed = true;
+        if let Some((revision, versions)) = &delta.versions {
+            changed |= replace_older(
+                (&mut self.versions, &mut self.versions_revision),
+                (versions, *revision),
+            );
         }
-        if let Some((revision, retirements)) = &delta.retirements
-            && *revision > self.retirements_revision
-        {
-            self.retirements = Arc::clone(retirements);
-            self.retirements_revision = *revision;
-            changed = true;
+        if let Some((revision, retirements)) = &delta.retirements {
+            changed |= replace_older(
+                (&mut self.retirements, &mut self.retirements_revision),
+                (retirements, *revision),
+            );
         }
-        if let Some((revision, evacuated)) = &delta.evacuated
-            && *revision > self.evacuated_revision
-        {
-            self.evacuated = Arc::clone(evacuated);
-            self.evacuated_revision = *revision;
-            changed = true;
+        if let Some((revision, evacuated)) = &delta.evacuated {
+            changed |= replace_older(
+                (&mut self.evacuated, &mut self.evacuated_revision),
+                (evacuated, *revision),
+            );
         }
         changed
     }
--- a/crates/fleet/src/index.rs
+++ b/crates/fleet/src/index.rs
@@ -1,23 +1,23 @@
-//! Look-ups in a configuration, made once for each: a request costs a hash of its
-//! host and one of its key, however many routes and keys there are.
+//! Indexes over a configuration, built once for each: a request takes a hash of its host and one of
+//! its key, however many routes and keys there are.
 
 use crate::configuration::{Configuration, Route, host_name};
 use crate::tenant::{Credential, Denial, KeyDigest, Tenant};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A configuration and its look-ups.
+/// A configuration and its indexes.
 #[derive(Debug)]
 pub struct ConfigurationIndex {
     configuration: Arc<Configuration>,
     /// Routes of a host in lower case, those with the longest prefix first.
     routes: HashMap<String, Vec<usize>>,
-    /// Who holds a key, by its digest.
-    holders: HashMap<KeyDigest, usize>,
+    /// Number of the tenant that a key belongs to, by the key's digest.
+    owners: HashMap<KeyDigest, usize>,
 }
 
 impl ConfigurationIndex {
-    /// Looks through the whole configuration once.
+    /// Builds the indexes by one pass over the configuration.
     pub fn new(configuration: Arc<Configuration>) -> Self {
         let mut routes: HashMap<String, Vec<usize>> = HashMap::new();
         for (number, route) in configuration.routes.iter().enumerate() {
@@ -25,20 +25,21 @@
             routes.entry(host).or_default().push(number);
         }
         for numbers in routes.values_mut() {
-            // Stable: of two routes with one prefix the later wins, as in a walk.
+            // The sort is stable: of two routes with one prefix the later comes first, as in
+            // `Configuration::route`.
             numbers.reverse();
             numbers.sort_by_key(|number| {
                 std::cmp::Reverse(configuration.routes[*number].prefix.len())
             });
         }
-        let mut holders = HashMap::new();
+        let mut owners = HashMap::new();
         for (number, tenant) in configuration.tenants.iter().enumerate() {
-            holders.extend(tenant.keys.iter().map(|key| (*key, number)));
+            owners.extend(tenant.keys.iter().map(|key| (*key, number)));
         }
         Self {
             configuration,
             routes,
-            holders,
+            owners,
         }
     }
 
@@ -58,18 +59,18 @@
             .find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Whether some route of a host takes jobs without a key.
+    /// Whether a route of a host accepts jobs without a key.
     pub fn has_public_jobs(&self, host: &str) -> bool {
         let numbers = self.of_host(host).into_iter().flatten();
         let mut routes = numbers.map(|number| &self.configuration.routes[*number]);
         routes.any(|route| route.is_public && route.kind.is_job())
     }
 
-    /// The tenant that a call is made for; none where it needs no key and brings none
-    /// that is known.
+    /// The tenant that a call is made for; none where it needs no key and has none that is
+    /// known.
     ///
     /// # Errors
-    /// The call may not be made with what it brought.
+    /// The call needs a key and has none, several or an unknown one.
     pub fn admit(
         &self,
         credential: Credential,
@@ -77,9 +78,9 @@
     ) -> Result<Option<&Arc<Tenant>>, Denial> {
         let needs_key = !is_public && !self.configuration.tenants.is_empty();
         match credential {
-            Credential::Key(key) => match self.holder(&key) {
+            Credential::Key(key) => match self.owner(&key) {
                 None if needs_key => Err(Denial::KeyUnknown),
-                holder => Ok(holder),
+                owner => Ok(owner),
             },
             Credential::Missing if needs_key => Err(Denial::KeyMissing),
             Credential::Several if needs_key => Err(Denial::SeveralKeys),
@@ -87,8 +88,8 @@
         }
     }
 
-    fn holder(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
-        let number = self.holders.get(key)?;
+    fn owner(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
+        let number = self.owners.get(key)?;
         self.configuration.tenants.get(*number)
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,7 @@
-//! What operators declare and what back ends report, as every process sees it.
+//! What operators declare and what back ends report, as one process knows it.
 //!
-//! [`FleetView`] is a value: processes exchange it whole or in parts, and the
-//! newer part wins by its revision. Nothing here does I/O.
+//! [`FleetView`] is a value: processes exchange it whole or in parts, and of each part the one of
+//! the higher revision replaces the other. Nothing here does I/O.
 #![forbid(unsafe_code)]
 
 mod configuration;
--- a/crates/fleet/src/region.rs
+++ b/crates/fleet/src/region.rs
@@ -10,7 +10,7 @@
     /// Anywhere.
     #[default]
     Any,
-    /// In these alone; nowhere where there are none.
+    /// Only in these; nowhere if there are none.
     Only(Arc<BTreeSet<Arc<str>>>),
 }
 
@@ -21,7 +21,7 @@
         Self::Only(Arc::new(regions.collect()))
     }
 
-    /// Those that both allow.
+    /// The regions that both allow.
     pub fn and(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Any, bound) | (bound, Self::Any) => bound.clone(),
@@ -31,8 +31,7 @@
         }
     }
 
-    /// Whether a replica or machine may hold the data; one whose region nobody knows may not
-    /// where the data is bound.
+    /// Whether data may be in a region; bound data may not where the region is unknown.
     pub fn allows(&self, region: Option<&str>) -> bool {
         match self {
             Self::Any => true,
@@ -40,12 +39,12 @@
         }
     }
 
-    /// Whether the data may be nowhere.
+    /// Whether data may be nowhere.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Only(regions) if regions.is_empty())
     }
 
-    /// Whether the data is bound to regions.
+    /// Whether data is bound to regions.
     pub fn is_bound(&self) -> bool {
         *self != Self::Any
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! The newest known state of configuration, replicas, versions, retirements.
+//! The newest known state of configuration, replicas, versions, retirements, evacuations.
 
 use crate::configuration::{Configuration, WarmUp};
 use crate::life::Life;
@@ -27,26 +27,26 @@
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Requests at once.
+    /// Requests that it runs at a time.
     pub slots: u32,
     /// Gets no new work.
     pub draining: bool,
-    /// Weights it holds.
+    /// Weights that it serves.
     pub models: Vec<ServedModel>,
     /// Revision of its entry.
     pub revision: u64,
     /// It may be taken away at short notice.
     #[serde(default)]
     pub is_spot: bool,
-    /// Time from its notice until it is gone, in ms; none: it leaves once its work is
-    /// done, or not at all.
+    /// Time from its notice until it is gone, in ms; none: it had no notice, and goes once its
+    /// work is done or not at all.
     #[serde(default)]
     pub notice_ms: Option<u64>,
     /// Region of its zone; none: the zone is unknown.
     #[serde(default)]
     pub region: Option<Arc<str>>,
-    /// Time for which it warms up, counted from its start or from a loss of its caches, as
-    /// its entry has it, in ms; 0: it is warm. The entry may be older than a heartbeat.
+    /// Time for which it still warms up after its start or a loss of its caches, by its entry, in
+    /// ms; 0: it is warm. The entry may be older than a heartbeat.
     #[serde(default)]
     pub warming_ms: u64,
     /// The life that wrote its entry.
@@ -55,8 +55,8 @@
 }
 
 impl ReplicaInfo {
-    /// Whether another entry of this replica says the same of where work may go:
-    /// all but the weights it holds, which change with every load.
+    /// Whether another entry of this replica is the same but for the weights that it serves, which
+    /// change with every load: edges act on all else.
     pub fn takes_work_like(&self, other: &Self) -> bool {
         self.life == other.life
             && self.service == other.service
@@ -68,7 +68,7 @@
             && self.draining == other.draining
     }
 
-    /// Version of a model that this replica holds.
+    /// Version of a model that this replica serves; none: it serves none.
     pub fn version_of(&self, model: &str) -> Option<u64> {
         let served = self.models.iter().find(|served| served.name == model)?;
         Some(served.version)
@@ -90,68 +90,73 @@
     pub revision: u64,
 }
 
-/// All of it. Parts are shared, so that a copy is cheap.
+/// The fleet as one process knows it. Parts are shared, so that a copy is cheap.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetView {
     /// Newest configuration; none before the first is known.
     pub configuration: Option<Arc<Configuration>>,
     /// Revision of the configuration.
     pub configuration_revision: u64,
-    /// Replicas by identity.
+    /// Replicas by id.
     pub replicas: Arc<BTreeMap<String, ReplicaInfo>>,
-    /// Revision up to which `replicas` is true.
+    /// Revision of the source up to which `replicas` is complete.
     pub replicas_revision: u64,
-    /// Newest version named for each model.
+    /// Newest version by model.
     pub versions: Arc<BTreeMap<String, u64>>,
-    /// Revision up to which `versions` is true.
+    /// Revision of the source up to which `versions` is complete.
     pub versions_revision: u64,
     /// Storage machines to be emptied.
     pub retirements: Arc<BTreeMap<String, Retirement>>,
-    /// Revision up to which `retirements` is true.
+    /// Revision of the source up to which `retirements` is complete.
     pub retirements_revision: u64,
     /// Zones whose replicas are to be sent nothing.
     #[serde(default)]
     pub evacuated: Arc<BTreeSet<Arc<str>>>,
-    /// Revision up to which `evacuated` is true; 0: nothing is known of it.
+    /// Revision of the source up to which `evacuated` is complete; 0: nothing is known of it.
     #[serde(default)]
     pub evacuated_revision: u64,
     /// Whether this process sends nothing before it knows which zones are evacuated: its own
-    /// setting, neither told to others nor taken from them.
+    /// setting, which is not exchanged.
     #[serde(skip)]
     pub needs_evacuated: bool,
 }
 
+/// Replaces a part of a view by another of a higher revision; returns whether it did.
+pub(crate) fn replace_older<T: Clone>(own: (&mut T, &mut u64), other: (&T, u64)) -> bool {
+    let (part, revision) = own;
+    let (other_part, other_revision) = other;
+    if other_revision <= *revision {
+        return false;
+    }
+    part.clone_from(other_part);
+    *revision = other_revision;
+    true
+}
+
 impl FleetView {
-    /// Takes from `other` each part that is newer. Returns whether anything
-    /// changed.
+    /// Takes from `other` each part of a higher revision; returns whether there was one.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let mut changed = false;
-        if other.configuration_revision > self.configuration_revision {
-            self.configuration = other.configuration.clone();
-            self.configuration_revision = other.configuration_revision;
-            changed = true;
-        }
-        if other.replicas_revision > self.replicas_revision {
-            self.replicas = Arc::clone(&other.replicas);
-            self.replicas_revision = other.replicas_revision;
-            changed = true;
-        }
-        if other.versions_revision > self.versions_revision {
-            self.versions = Arc::clone(&other.versions);
-            self.versions_revision = other.versions_revision;
-            changed = true;
-        }
-        if other.retirements_revision > self.retirements_revision {
-            self.retirements = Arc::clone(&other.retirements);
-            self.retirements_revision = other.retirements_revision;
-            changed = true;
-        }
-        if other.evacuated_revision > self.evacuated_revision {
-            self.evacuated = Arc::clone(&other.evacuated);
-            self.evacuated_revision = other.evacuated_revision;
-            changed = true;
-        }
-        changed
+        let configuration = replace_older(
+            (&mut self.configuration, &mut self.configuration_revision),
+            (&other.configuration, other.configuration_revision),
+        );
+        let replicas = replace_older(
+            (&mut self.replicas, &mut self.replicas_revision),
+            (&other.replicas, other.replicas_revision),
+        );
+        let versions = replace_older(
+            (&mut self.versions, &mut self.versions_revision),
+            (&other.versions, other.versions_revision),
+        );
+        let retirements = replace_older(
+            (&mut self.retirements, &mut self.retirements_revision),
+            (&other.retirements, other.retirements_revision),
+        );
+        let evacuated = replace_older(
+            (&mut self.evacuated, &mut self.evacuated_revision),
+            (&other.evacuated, other.evacuated_revision),
+        );
+        configuration || replicas || versions || retirements || evacuated
     }
 
     /// A view of a process that knows nothing yet; see [`FleetView::needs_evacuated`].
@@ -162,13 +167,13 @@
         }
     }
 
-    /// Whether it is known which zones are evacuated, as far as that matters here.
+    /// Whether it is known which zones are evacuated, or this process need not know.
     pub fn knows_evacuated(&self) -> bool {
         !self.needs_evacuated || self.evacuated_revision > 0
     }
 
-    /// What is known of evacuated zones and nothing else: merged elsewhere, it changes
-    /// nothing else there.
+    /// A view with what is known of evacuated zones and nothing else: merged into another it changes
+    /// nothing else.
     pub fn evacuated_part(&self) -> Self {
         Self {
             evacuated: Arc::clone(&self.evacuated),
@@ -177,7 +182,7 @@
         }
     }
 
-    /// Drops what is known of evacuated zones. True: there was something.
+    /// Forgets which zones are evacuated; returns whether that was known.
     pub fn forget_evacuated(&mut self) -> bool {
         self.evacuated = Arc::default();
         std::mem::take(&mut self.evacuated_revision) > 0
@@ -188,17 +193,16 @@
         self.evacuated.contains(zone)
     }
 
-    /// Whether a service is named by the configuration; before one is known, no route leads
-    /// anywhere, and all are. A replica of another service is none to use: whoever wrote its
-    /// entry is no replica of ours.
+    /// Whether the configuration names a service; true for all before one is known, as then no
+    /// route leads anywhere. Replicas of other services are not used: their entries are not from
+    /// replicas of this deployment.
     pub fn names_service(&self, service: &str) -> bool {
         let configuration = self.configuration.as_ref();
         configuration.is_none_or(|known| known.service(service).is_some())
     }
 
-    /// Whether a replica takes work: it does not leave, its service is named, and its zone is
-    /// not known to be evacuated. Whether that is known at all is
-    /// [`FleetView::knows_evacuated`].
+    /// Whether a replica takes work: it does not drain, its service is named, and its zone is not
+    /// known to be evacuated ([`FleetView::knows_evacuated`]: whether that is known at all).
     pub fn takes_work(&self, replica: &ReplicaInfo) -> bool {
         !replica.draining
             && self.names_service(&replica.service)
@@ -214,15 +218,15 @@
         ready.filter(|replica| !self.is_evacuated(&replica.zone))
     }
 
-    /// What replicas of a service bear while they warm up; none: all that they bear later,
-    /// or the service is unknown.
+    /// What replicas of a service bear while they warm up; none: as much as later, or the service
+    /// is unknown.
     pub fn warm_up_of(&self, service: &str) -> Option<WarmUp> {
         let configuration = self.configuration.as_ref()?;
         configuration.service(service)?.warm_up
     }
 
-    /// Whether another view tells the same of a replica's warming up: its life, its entry and
-    /// what its service bears. A view that lacks the replica tells nothing.
+    /// Whether this and another view have a replica in the same life, with the same time left of
+    /// its warm-up period and the same bound. False where one lacks the replica.
     pub fn tells_warming_like(&self, other: &Self, replica: &str) -> bool {
         let own = self.replicas.get(replica);
         let others = other.replicas.get(replica);
@@ -233,7 +237,7 @@
         })
     }
 
-    /// Replicas of a service that do not leave, those of evacuated zones among them.
+    /// Replicas of a service that do not drain, those of evacuated zones included.
     pub fn ready_replicas<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a ReplicaInfo> {
         let is_named = self.names_service(service);
         self.replicas
--- a/crates/fleet/tests/delta.rs
+++ b/crates/fleet/tests/delta.rs
@@ -66,7 +66,7 @@
 }
 
 #[rstest]
-fn a_view_that_lacks_the_base_asks_for_a_whole_one() {
+fn a_difference_with_another_base_is_refused() {
     let views = history(&[(1, false), (2, false), (3, false)]);
     let delta = views[3].delta_from(&views[2]);
     let mut view = views[1].clone();
@@ -74,8 +74,8 @@
     assert_eq!(view, views[1]);
 }
 
-/// A new leader begins with an old copy of the view, and tells it whole; then its source
-/// answers. An edge that knew something in between gets all of it out of what it was told.
+/// A new leader begins with an old copy of the view and sends it whole; then the source answers. An
+/// edge whose view is in between takes the newer one from what it received.
 fn after_a_new_leader(views: &[FleetView], copy: usize, own: usize, newest: usize) -> FleetView {
     let mut told = views[copy].clone();
     let mut view = views[own].clone();
@@ -89,7 +89,7 @@
 
 proptest! {
     #[test]
-    fn who_knows_more_than_a_new_leader_follows_it_without_a_whole_view(
+    fn an_edge_ahead_of_a_new_leader_follows_it_without_a_whole_view(
         changes in proptest::collection::vec((0_u64..5, any::<bool>()), 1..20),
         points in (0_usize..20, 0_usize..20, 0_usize..20),
     ) {
@@ -98,14 +98,14 @@
         points.sort_unstable();
         let [copy, own, newest] = points;
         prop_assert_eq!(&after_a_new_leader(&views, copy, own, newest), &views[newest]);
-        // And who knows what the leader does not know yet keeps it.
+        // An edge that knows what the leader does not know yet keeps it.
         let view = after_a_new_leader(&views, copy, newest, own);
         prop_assert_eq!(&view, &views[newest]);
     }
 }
 
 #[rstest]
-fn what_was_told_is_no_help_where_it_lacks_the_difference() {
+fn a_known_view_that_lacks_the_difference_is_not_merged() {
     let views = history(&[(1, false), (2, false), (3, false)]);
     let delta = views[3].delta_from(&views[2]);
     let mut view = views[1].clone();
@@ -138,13 +138,12 @@
     assert_eq!(newest.configuration_revision, 2);
 }
 
-/// Revisions rise with every change anywhere; only what says something else is
-/// news.
+/// Revisions rise with every change anywhere; only other contents are news.
 #[rstest]
 #[case::same_but_newer(1, 5, 4, false)]
 #[case::changed_and_newer(2, 5, 4, true)]
 #[case::changed_but_older(2, 4, 5, false)]
-fn only_newer_and_other_parts_are_news(
+fn only_parts_that_are_newer_and_differ_are_news(
     #[case] number: u64,
     #[case] own: u64,
     #[case] others: u64,
@@ -165,7 +164,7 @@
 #[rstest]
 #[case::other_weights(2, false, true)]
 #[case::leaving(1, true, false)]
-fn edges_act_on_leaving_and_not_on_weights(
+fn a_drain_matters_to_edges_and_loaded_weights_do_not(
     #[case] version: u64,
     #[case] draining: bool,
     #[case] is_alike: bool,
@@ -196,12 +195,12 @@
     }
 }
 
-/// That no zone is evacuated is news to those who know nothing of it.
+/// That no zone is evacuated is news to a process that knows nothing of evacuations.
 #[rstest]
 #[case::written(&[], 3, &["a"], 4)]
 #[case::taken_back(&["a"], 3, &[], 4)]
 #[case::none_known_for_the_first_time(&[], 0, &[], 4)]
-fn evacuations_are_told(
+fn evacuations_are_part_of_a_difference(
     #[case] before: &[&str],
     #[case] known: u64,
     #[case] after: &[&str],
@@ -215,19 +214,19 @@
     assert_eq!(older, newer);
 }
 
-/// A difference that comes late takes back nothing that is newer.
+/// A late difference undoes nothing that is newer.
 #[rstest]
-fn an_older_evacuation_is_not_taken() {
+fn an_older_evacuation_is_ignored() {
     let mut newest = evacuated(&["a"], 9);
     let delta = evacuated(&[], 8).delta_from(&evacuated(&["a"], 7));
     assert_eq!(newest.apply(&delta), Ok(false));
     assert!(newest.is_evacuated("a"));
 }
 
-/// Written, taken back and written again: who saw the middle keeps to it unless the newest
-/// revision is told, though the zones are those that were told last.
+/// Begun, ended and begun again: a process that knows the middle stays with it unless the newest
+/// revision is in the difference, though the zones are those of the difference before.
 #[rstest]
-fn a_change_that_was_taken_back_in_between_is_healed() {
+fn an_evacuation_that_was_undone_in_between_is_corrected() {
     let told = evacuated(&["a"], 4);
     let mut saw_the_middle = evacuated(&[], 5);
     let delta = evacuated(&["a"], 6).delta_from(&told);
@@ -235,9 +234,9 @@
     assert!(saw_the_middle.is_evacuated("a"));
 }
 
-/// What a process needs to know is its own, whatever others tell it.
+/// Whether a process must know evacuations is its own setting, whatever it receives.
 #[rstest]
-fn what_is_needed_is_not_told() {
+fn the_need_to_know_evacuations_is_not_exchanged() {
     let mut needs = FleetView::unknown(true);
     assert!(!needs.knows_evacuated());
     assert!(needs.merge(&evacuated(&["a"], 4)));
@@ -248,9 +247,9 @@
     assert!(!needs.is_evacuated("a"));
 }
 
-/// The part that is told at once changes nothing else.
+/// The part on evacuations changes nothing else where it is merged.
 #[rstest]
-fn the_part_on_evacuations_holds_nothing_else() {
+fn the_part_on_evacuations_has_nothing_else() {
     let mut known = FleetView {
         versions_revision: 3,
         replicas_revision: 7,
--- a/crates/fleet/tests/index.rs
+++ b/crates/fleet/tests/index.rs
@@ -1,4 +1,4 @@
-//! Look-ups in a configuration.
+//! Indexes over a configuration.
 
 use brasspond_fleet::{
     Configuration, ConfigurationIndex, Credential, Denial, KeyDigest, Regions, Route, RouteKind,
@@ -86,9 +86,9 @@
 }
 
 proptest! {
-    /// The look-up finds what the walk through all routes finds.
+    /// The index finds the route that `Configuration::route` finds.
     #[test]
-    fn routes_are_found_as_by_a_walk(
+    fn the_index_finds_the_route_of_the_configuration(
         routes in proptest::collection::vec((0_usize..3, 0_usize..6), 0..12),
         host in 0_usize..4,
         path in 0_usize..8,
--- a/crates/fleet/tests/split.rs
+++ b/crates/fleet/tests/split.rs
@@ -13,8 +13,8 @@
     targets.collect()
 }
 
-/// The largest difference between a target's share of a run of requests and that of
-/// its weight.
+/// The largest difference between a target's share of a sequence of requests and the share of its
+/// weight.
 fn largest_gap(targets: &[Target], first: u64, requests: u64) -> f64 {
     let total: u32 = targets.iter().map(|one| one.weight).sum();
     let mut largest: f64 = 0.0;
@@ -31,7 +31,7 @@
 
 proptest! {
     #[test]
-    fn shares_are_near_their_weights_over_any_run(
+    fn shares_are_near_their_weights_in_any_sequence(
         weights in proptest::collection::vec(1_u32..100_000, 2..5),
         first in any::<u64>(),
     ) {
--- a/crates/jobs/src/away.rs
+++ b/crates/jobs/src/away.rs
@@ -1,35 +1,35 @@
-//! Texts of ended jobs that lie outside the table.
+//! Texts of ended jobs that are on disk, not in the table.
 //!
-//! A job is asked for long after its end, and its texts are nearly all of the table.
-//! Once a job has ended, texts of its whole groups are needed for reads alone: no
-//! later job brings their items again. The process that holds the table may write
-//! them to its disk, and the table keeps where.
+//! The results of a job are read until long after its end, and texts are nearly all of the table's
+//! memory. Once a job has ended, texts of its whole groups are needed only for reads: no later job
+//! has their items again. The process that has the table may write them to its disk, and the table
+//! keeps where they are. The log knows nothing of this.
 
 use crate::command::Outcome;
 use crate::table::{Job, JobTable, Page};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a text lies in the file of its job.
+/// Where a text is in the file of its job, or several that follow one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// First byte.
+    /// Offset of the first byte.
     pub offset: u64,
-    /// Bytes.
+    /// Number of bytes.
     pub length: usize,
 }
 
-/// Texts of a job that lie in a file.
+/// Texts of a job that are in a file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Away {
     /// Number of the file.
     pub file: u64,
-    /// Places by position.
+    /// Where each text is, by position of its result.
     pub places: BTreeMap<u64, Place>,
 }
 
 impl Job {
-    /// Groups of which an item is not listed: a later job may bring them again.
+    /// Groups of which an item is not listed: a later job may have them again.
     fn open_groups(&self) -> BTreeSet<&str> {
         let listed = self.items.iter().zip(&self.listed);
         let open = listed.filter(|(_, listed)| !**listed);
@@ -38,8 +38,8 @@
 }
 
 impl JobTable {
-    /// Positions and texts of an ended job that are needed for reads alone; none
-    /// where some lie outside already.
+    /// Positions and texts of an ended job that are needed only for reads; none where some are on
+    /// disk already.
     pub fn spare_texts(&self, id: &str) -> Vec<(u64, Bytes)> {
         let Some(job) = self.job(id).filter(|job| job.ended && job.away.is_none()) else {
             return Vec::new();
@@ -56,7 +56,8 @@
         spare.collect()
     }
 
-    /// Texts of a job lie in a file now, one after another in the order of `texts`.
+    /// Texts of a job are in a file now, one after another in the order of `texts`: they go from the
+    /// table.
     pub fn put_away(&mut self, id: &str, file: u64, texts: &[(u64, Bytes)]) {
         let Some(job) = self.job_mut(id) else {
             return;
@@ -98,8 +99,8 @@
 }
 
 impl Page {
-    /// The part of a file that holds the texts of this page, whose first result
-    /// stands at `since`; none where all are here.
+    /// The part of a file that has the texts of this page, whose first result has position `since`;
+    /// none where all are in the page.
     pub fn span(&self, since: u64, away: &Away) -> Option<Place> {
         let mut places = away.places.range(since..self.next).map(|(_, place)| place);
         let first = places.next()?;
@@ -111,7 +112,7 @@
         })
     }
 
-    /// Fills in the texts out of the bytes of that part.
+    /// Fills in the texts from the bytes of that part, `span`.
     pub fn fill(&mut self, since: u64, away: &Away, span: Place, bytes: &Bytes) {
         for (position, result) in (since..).zip(&mut self.results) {
             if let (Some(place), Outcome::Completed { text, .. }) =
--- a/crates/jobs/src/command.rs
+++ b/crates/jobs/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the log.
+//! Commands of the log, as they are encoded there.
 
 use brasspond_compression::{pack, unpack};
 use brasspond_metering::UsageCommand;
@@ -12,18 +12,18 @@
 /// path. It may be repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScoringCall {
-    /// Identity, chosen by the caller.
+    /// Id, chosen by the caller.
     pub id: String,
     /// Host asked for.
     pub host: String,
     /// Path asked for.
     pub path: String,
-    /// Body handed to the scoring service.
+    /// Body sent to the scoring service.
     pub body: Bytes,
 }
 
 impl ScoringCall {
-    /// What it asks for: the cluster's own call, made for no tenant.
+    /// What it asks for, as a fingerprint: the cluster's own call, for no tenant.
     pub fn content(&self) -> Fingerprint {
         Fingerprint::of(&Content {
             method: "POST",
@@ -38,15 +38,15 @@
 /// One request of a job, run later.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Identity, chosen by the caller; an item may come again in a later job.
+    /// Id, chosen by the caller; a later job may have the item again.
     pub id: String,
     /// Path asked for at the replica.
     pub path: String,
-    /// Headers handed to the replica.
+    /// Headers sent to the replica.
     pub headers: Vec<(String, String)>,
-    /// Body handed to the replica.
+    /// Body sent to the replica.
     pub body: Bytes,
-    /// Tokens read and at most written.
+    /// Tokens read and written at the most.
     pub tokens: u64,
     /// Tokens the caller expects to be written; 0 where it does not say.
     pub expected_tokens: u64,
@@ -59,7 +59,7 @@
 }
 
 impl Item {
-    /// What it asks for, as part of a job of this host and tenant.
+    /// What it asks for, as a fingerprint, in a job of this host and tenant.
     pub fn content(&self, host: &str, tenant: Option<&str>) -> Fingerprint {
         Fingerprint::of(&Content {
             method: "POST",
@@ -71,14 +71,14 @@
     }
 }
 
-/// A job as a caller hands it in.
+/// A job as a caller submits it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Identity, chosen by the caller.
+    /// Id, chosen by the caller.
     pub id: String,
     /// Host asked for.
     pub host: String,
-    /// Path of the call that handed it in.
+    /// Path of the call that submitted it.
     pub path: String,
     /// Model that is trained; empty where there is no trainer.
     pub model: String,
@@ -90,7 +90,7 @@
     pub desired: u64,
     /// The requests.
     pub items: Vec<Item>,
-    /// Tenant that handed it in; none where callers need no key.
+    /// Tenant that submitted it; none where callers need no key.
     #[serde(default)]
     pub tenant: Option<Arc<str>>,
 }
@@ -104,7 +104,7 @@
         text: Bytes,
         /// Versions of the weights that made an event, ascending.
         versions: Vec<u64>,
-        /// What its scoring call said; none where the item has no such call.
+        /// The answer of its scoring call; none where the item has no such call.
         score: Option<String>,
     },
     /// Given up.
@@ -120,29 +120,29 @@
     pub version: u64,
 }
 
-/// Parts of an item's text, kept while it is made: the loss of all processes
-/// costs little of a long text.
+/// Parts of an item's text, kept while it is made, so that the loss of all processes costs little of
+/// a long text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The job.
     pub job: String,
     /// Index of the item in its job.
     pub item: u32,
-    /// Parts kept before that stay; later ones give way.
+    /// How many of the parts kept before stay; later ones are replaced.
     pub after: u64,
     /// Parts that follow.
     pub parts: Vec<Part>,
 }
 
-/// The end of an item's text, which makes it whole. Kept before the text is
-/// scored, so that no loss of a process has it made again.
+/// The end of an item's text, which makes it whole. It is kept before the text is scored, so that
+/// the text is not made again if a process is lost.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Draft {
     /// The job.
     pub job: String,
     /// Index of the item in its job.
     pub item: u32,
-    /// Parts kept before that begin the text.
+    /// How many of the parts kept before begin the text.
     pub after: u64,
     /// Data of the events after them in order, separated by line feeds.
     pub text: Bytes,
@@ -150,7 +150,7 @@
     pub versions: Vec<u64>,
 }
 
-/// The score of an item's draft, which takes the next position of its job.
+/// The score of an item's draft, which is listed with it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Score {
     /// The job.
@@ -161,7 +161,7 @@
     pub score: String,
 }
 
-/// An item to be put at the next position of its job.
+/// An item to be listed at the next position of its job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
     /// The job.
@@ -175,53 +175,54 @@
 /// A command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Takes a job; a job of this identity that is known stays as it is.
+    /// Accepts a job; a known job of this id stays as it is.
     Accept(Submission),
-    /// Puts items at the next positions; items already listed stay.
+    /// Lists items at the next positions; items that are listed already stay.
     List(Vec<Listing>),
     /// Keeps parts of texts that are being made.
     Extend(Vec<Piece>),
     /// Keeps whole texts that wait for their scores; the first draft of an item
     /// stays.
     Draft(Vec<Draft>),
-    /// Puts whole texts that need no score at the next positions.
+    /// Lists items with whole texts that need no score at the next positions.
     Finish(Vec<Draft>),
-    /// Puts drafts with their scores at the next positions; items without a
-    /// draft, or already listed, stay.
+    /// Lists items with their drafts and scores at the next positions; items without a draft, or
+    /// listed already, stay.
     Score(Vec<Score>),
     /// Ends a job.
     End {
         /// The job.
         job: String,
     },
-    /// Drops jobs that nobody may ask for any more.
+    /// Removes jobs whose results may not be read any more.
     Forget {
         /// The jobs.
         jobs: Vec<String>,
     },
-    /// Tells that a holder is about to give an order: no other may give one on the
-    /// same subject within its lease. Changes nothing in the table.
+    /// Announces that a holder is about to give an order: no other may give one on the same subject
+    /// within its lease. Changes nothing in the table.
     Intend {
-        /// The subject: the identity of a replica, or a name that no replica has.
+        /// The subject: the id of a replica, or a name that no replica has.
         subject: String,
         /// Machine of the holder.
         holder: String,
     },
-    /// Keeps the newest known configuration, for processes that start while its
-    /// source is out of reach. Opaque here.
+    /// Keeps the newest known configuration, for processes that start while its source is out of
+    /// reach. Its encoding is not known here.
     Remember {
         /// Revision of the configuration; an older one changes nothing.
         revision: u64,
         /// The configuration, encoded.
         configuration: Bytes,
     },
-    /// Of tenants' usage.
+    /// Changes usage of tenants.
     Usage(UsageCommand),
-    /// Of contents under which replicas ended.
+    /// Changes what is known of contents under which replicas ended.
     Quarantine(Vec<Change>),
 }
 
-/// Longest command, in bytes.
+/// Longest command, unpacked, in bytes: bounds memory where bytes are damaged. Eight times the
+/// longest body that callers may send by default (`Limits`). Not measured.
 const LONGEST_COMMAND: usize = 256 * 1024 * 1024;
 
 /// A command or table cannot be read or written: {0}
@@ -231,7 +232,7 @@
 impl std::error::Error for CommandError {}
 
 impl Command {
-    /// Encodes the command for the log, packed: each entry crosses to every member.
+    /// Encodes the command for the log, compressed, as each entry is sent to every member.
     ///
     /// # Errors
     /// The encoder refuses it.
@@ -243,7 +244,7 @@
     /// Decodes a command of the log.
     ///
     /// # Errors
-    /// The bytes are no command.
+    /// The bytes are not a command.
     pub fn decode(bytes: &Bytes) -> Result<Self, CommandError> {
         let bytes = unpack(bytes.clone(), LONGEST_COMMAND);
         let bytes = bytes.map_err(|error| CommandError(error.to_string()))?;
--- a/crates/jobs/src/groups.rs
+++ b/crates/jobs/src/groups.rs
@@ -1,4 +1,4 @@
-//! Which groups of a job are whole, and whether its trainer has what it waits for.
+//! Which groups of a job are whole, and whether its trainer has the groups that it waits for.
 
 use crate::command::Submission;
 use serde::{Deserialize, Serialize};
@@ -7,32 +7,33 @@
 /// How far a job is for its trainer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepState {
-    /// Nobody trains.
+    /// The job has no trainer.
     NoTrainer,
     /// The trainer waits for more groups than are whole.
     Awaited,
-    /// The trainer has what it waits for.
+    /// The trainer has the groups that it waits for.
     Ready,
 }
 
 /// Groups of a job, counted as its items are listed.
 ///
-/// A trainer waits for a number of whole groups, whichever they are, but for those that
-/// an earlier job left unfinished: of these it waits for each.
+/// A trainer waits for a number of whole groups, whichever they are, and for each group that an
+/// earlier job left unfinished.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Groups {
-    /// Groups that are not whole, with how many of their items are not listed.
+    /// Items that are not listed, by group; groups that are not whole only.
     open: BTreeMap<String, u32>,
+    /// Number of whole groups.
     whole: u64,
     /// Groups of an earlier job that are not whole.
     carried: BTreeSet<String>,
-    /// Whole groups that the trainer waits for; 0 where nobody trains.
+    /// Whole groups that the trainer waits for; 0 without a trainer.
     desired: u64,
 }
 
 impl Groups {
-    /// Groups of a job of which nothing is listed; `known` are identities of items that
-    /// came in earlier jobs of its model.
+    /// Groups of a job of which nothing is listed. `known`: ids of items of earlier jobs of its
+    /// model.
     pub(crate) fn new(submission: &Submission, known: &HashSet<&str>) -> Self {
         let mut groups = Self {
             desired: submission.desired,
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,10 +1,9 @@
 //! Jobs and their results: the state machine over the replicated log.
 //!
-//! [`JobTable::apply`] is deterministic: every member that applies the same
-//! commands in the same order holds the same table. Invariants: a result keeps
-//! its position and content; an item stands at one position at most; a job
-//! accepted twice is one job; a score is listed with the draft that the log held
-//! before it.
+//! [`JobTable::apply`] is deterministic: every member that applies the same commands in the same
+//! order has the same table. Invariants: a result keeps its position and content; an item has one
+//! position at most; a job that is accepted twice is one job; a score is listed with the draft that
+//! the log had before it.
 #![forbid(unsafe_code)]
 
 mod away;
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -1,4 +1,8 @@
 //! The table of jobs.
+//!
+//! Owns jobs with their items and results, usage of tenants, quarantined contents and the newest
+//! configuration. Only commands of the log change it, but for texts that its process moves to disk
+//! ([`crate::Away`]).
 
 use crate::away::Away;
 use crate::command::{
@@ -12,15 +16,16 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::sync::Arc;
 
-/// Steps back to which groups that were not whole may come again.
+/// Steps after which a group that was not whole comes no more. It stands for the trainer's bound on
+/// staleness, which is not known here (docs/design/0023-time-of-calls-and-peaks.md). Not measured.
 const CARRIED_STEPS: u64 = 4;
 
 /// A job and its results so far.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// Host asked for.
+    /// Host of the call that submitted it.
     pub host: String,
-    /// Path of the call that handed it in.
+    /// Path of the call that submitted it.
     pub path: String,
     /// Model that is trained.
     pub model: String,
@@ -30,33 +35,33 @@
     pub min_version: u64,
     /// Whole groups the trainer waits for.
     pub desired: u64,
-    /// Items, in the order handed in. Bodies are dropped once listed or ended.
+    /// Items, in the order submitted. Bodies are dropped once their item is listed or the job
+    /// ended.
     pub items: Vec<Item>,
-    /// Listed items with how they ended, by position.
+    /// Index and end of each listed item, by position.
     pub results: Vec<(u32, Outcome)>,
     /// For each item, whether it is listed.
     pub listed: Vec<bool>,
-    /// Texts that are being made, by index. Those of an ended job stay for a job
-    /// that brings the item again; so do drafts.
+    /// Parts of texts that are being made, by index of the item. Those of an ended job stay for a
+    /// job that has the item again; so do drafts.
     pub parts: BTreeMap<u32, Vec<Part>>,
-    /// Texts and versions of items that wait for their scores, by index.
+    /// Whole texts and their versions of items that wait for their scores, by index of the item.
     pub drafts: BTreeMap<u32, (Bytes, Vec<u64>)>,
     /// Whether its caller ended it.
     pub ended: bool,
-    /// Tenant that handed it in; none where callers need no key.
+    /// Tenant that submitted it; none where callers need no key.
     #[serde(default)]
     pub tenant: Option<Arc<str>>,
     /// Its groups, as far as they are listed.
     #[serde(default)]
     pub groups: Groups,
-    /// Texts that lie outside the table; never part of a snapshot.
+    /// Texts that are on disk instead; never part of a snapshot.
     #[serde(skip)]
     pub away: Option<Away>,
 }
 
 impl Job {
-    /// Whether callers of a tenant may read and end it. To all others it is as a job
-    /// that is unknown.
+    /// Whether callers of a tenant may read and end it; to all others it is unknown.
     pub fn is_open_to(&self, tenant: Option<&str>) -> bool {
         self.tenant.is_none() || self.tenant.as_deref() == tenant
     }
@@ -66,8 +71,8 @@
         self.ended || self.results.len() == self.items.len()
     }
 
-    /// The whole text of an item with the versions that made it, scored or not; none
-    /// where it lies outside the table, as no later job brings the item again.
+    /// The whole text of an item with the versions that made it, scored or not; none where it is on
+    /// disk, as no later job has the item again.
     pub fn text(&self, item: u32) -> Option<(&Bytes, &[u64])> {
         if let Some((text, versions)) = self.drafts.get(&item) {
             return Some((text, versions));
@@ -86,30 +91,30 @@
     }
 }
 
-/// Whether a job was new.
+/// What accepting a job did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepted {
-    /// Taken by this command.
+    /// The job is new.
     New,
-    /// Known before.
+    /// The job was accepted before and stays as it is.
     Known,
 }
 
 /// A result at its position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Positioned {
-    /// Identity of the item.
+    /// Id of the item.
     pub id: String,
     /// How it ended.
     pub outcome: Outcome,
 }
 
-/// Results of a job from a position on.
+/// Results of a job from a position on, in the order of positions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     /// Number of items of the job.
     pub total: u64,
-    /// Position after the last result given.
+    /// Position after the last result here.
     pub next: u64,
     /// Results from the position asked for.
     pub results: Vec<Positioned>,
@@ -120,14 +125,16 @@
 pub enum BodyError {
     /// No such job.
     NoJob,
-    /// No such item, or it is listed, or its job has ended.
+    /// No such item, or it is listed, or its job ended.
     NoItem,
 }
 
-/// All jobs.
+/// See the module's page.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobTable {
+    /// By id.
     jobs: BTreeMap<String, Job>,
+    /// The newest configuration with its revision.
     remembered: Option<(u64, Bytes)>,
     #[serde(default)]
     usage: UsageLedger,
@@ -136,7 +143,7 @@
 }
 
 impl JobTable {
-    /// Applies a command. Tells of a job whether it was new.
+    /// Applies a command; returns what accepting a job did, nothing for other commands.
     pub fn apply(&mut self, command: Command) -> Option<Accepted> {
         match command {
             Command::Accept(submission) => return Some(self.accept(submission)),
@@ -164,7 +171,7 @@
         None
     }
 
-    /// A job by its identity.
+    /// A job by its id.
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
@@ -173,7 +180,7 @@
         self.jobs.get_mut(id)
     }
 
-    /// All jobs by identity.
+    /// All jobs by id.
     pub fn jobs(&self) -> impl Iterator<Item = (&String, &Job)> {
         self.jobs.iter()
     }
@@ -188,16 +195,16 @@
         &self.quarantine
     }
 
-    /// The configuration remembered, with its revision.
+    /// The newest configuration that was remembered, with its revision.
     pub fn remembered(&self) -> Option<&(u64, Bytes)> {
         self.remembered.as_ref()
     }
 
-    /// Results of a job from position `since` on: about `limit` bytes of text at
-    /// most, but at least one result if there is one. Texts that lie outside the
-    /// table are empty; see [`Page::span`]. None: no such job.
+    /// Results of a job from position `since` on: `limit` bytes of text at most, but at least one
+    /// result if there is one. Texts on disk are empty; see [`Page::span`]. None: no such job.
     pub fn page(&self, id: &str, since: u64, limit: usize) -> Option<Page> {
         let job = self.jobs.get(id)?;
+        // Beyond what a machine can address there are no results.
         let first = usize::try_from(since).unwrap_or(usize::MAX);
         let mut results = Vec::new();
         let mut bytes = 0;
@@ -236,7 +243,7 @@
         Ok(job.items[index].body.clone())
     }
 
-    /// Encodes the table for a snapshot; all texts must lie in it.
+    /// Encodes the table for a snapshot; no text may be on disk.
     ///
     /// # Errors
     /// The encoder refuses it.
@@ -248,7 +255,7 @@
     /// Decodes a table out of a snapshot.
     ///
     /// # Errors
-    /// The bytes are no table.
+    /// The bytes are not a table.
     pub fn decode(bytes: &[u8]) -> Result<Self, CommandError> {
         rmp_serde::from_slice(bytes).map_err(|error| CommandError(error.to_string()))
     }
@@ -279,7 +286,7 @@
         Accepted::New
     }
 
-    /// Identities of items of the last jobs of a submission's model that ended.
+    /// Ids of items of ended jobs of a submission's model, those of the last [`CARRIED_STEPS`].
     fn earlier_items(&self, submission: &Submission) -> HashSet<&str> {
         let first = submission.step.saturating_sub(CARRIED_STEPS);
         let earlier = self
@@ -315,14 +322,14 @@
             return;
         }
         let parts = job.parts.entry(piece.item).or_default();
-        if let Some(after) = position(piece.after, parts) {
+        if let Some(after) = index_after(piece.after, parts) {
             parts.truncate(after);
             parts.extend(piece.parts);
         }
     }
 
-    /// The whole text that a draft ends, with all its versions; none where it does
-    /// not fit what is kept.
+    /// The whole text that a draft ends, with all its versions; none where the parts before it are
+    /// not here, or the item has a draft or is listed.
     fn join(&self, draft: &Draft) -> Option<(Bytes, Vec<u64>)> {
         let job = self.jobs.get(&draft.job)?;
         let is_open = job.listed.get(draft.item as usize) == Some(&false);
@@ -330,7 +337,7 @@
             return None;
         }
         let parts = job.parts.get(&draft.item).map_or(&[][..], Vec::as_slice);
-        let first = &parts[..position(draft.after, parts)?];
+        let first = &parts[..index_after(draft.after, parts)?];
         if first.is_empty() {
             return Some((draft.text.clone(), draft.versions.clone()));
         }
@@ -398,8 +405,8 @@
     }
 }
 
-/// Where so many parts end; none if fewer are kept.
-fn position(after: u64, parts: &[Part]) -> Option<usize> {
+/// The index after the first `after` parts; none if there are fewer.
+fn index_after(after: u64, parts: &[Part]) -> Option<usize> {
     let after = usize::try_from(after).ok()?;
     (after <= parts.len()).then_some(after)
 }
--- a/crates/jobs/tests/away.rs
+++ b/crates/jobs/tests/away.rs
@@ -77,7 +77,7 @@
 #[case::from_the_middle(5, 12_000)]
 #[case::what_stayed(9, usize::MAX)]
 #[case::past_the_end(40, 100)]
-fn pages_are_the_same(#[case] since: u64, #[case] limit: usize) {
+fn pages_are_the_same_from_table_and_disk(#[case] since: u64, #[case] limit: usize) {
     let mut table = JobTable::default();
     play(&mut table, "job", 12, 10);
     let before = table.page("job", since, limit).expect("job");
@@ -87,7 +87,7 @@
 
 /// A later job may bring items of a group that was not whole; their texts are used.
 #[rstest]
-fn texts_of_open_groups_stay() {
+fn texts_of_groups_that_are_not_whole_stay_in_the_table() {
     let mut table = JobTable::default();
     play(&mut table, "job", 12, 10);
     put_away(&mut table, "job");
@@ -99,14 +99,14 @@
 }
 
 #[rstest]
-fn texts_of_open_jobs_stay() {
+fn texts_of_jobs_that_have_not_ended_stay_in_the_table() {
     let mut table = JobTable::default();
     table.apply(Command::Accept(submission("job", 4)));
     assert!(table.spare_texts("job").is_empty());
 }
 
 #[rstest]
-fn a_table_with_all_texts_back_is_as_before() {
+fn a_table_with_all_texts_restored_is_as_before() {
     let mut table = JobTable::default();
     play(&mut table, "job", 12, 10);
     let before = table.encode().expect("encodes");
--- a/crates/jobs/tests/table.rs
+++ b/crates/jobs/tests/table.rs
@@ -117,7 +117,7 @@
 }
 
 #[rstest]
-fn a_body_is_there_until_its_item_is_listed_or_its_job_ended() {
+fn a_body_is_kept_until_its_item_is_listed_or_its_job_ended() {
     let mut table = JobTable::default();
     table.apply(Command::Accept(submission("job", 2)));
     assert_eq!(
@@ -136,7 +136,7 @@
 }
 
 #[rstest]
-fn a_page_holds_one_result_however_long() {
+fn a_page_has_at_least_one_result_however_long() {
     let mut table = JobTable::default();
     table.apply(Command::Accept(submission("job", 3)));
     let long = "x".repeat(500);
@@ -176,7 +176,7 @@
 }
 
 #[rstest]
-fn a_text_is_joined_of_its_pieces_and_its_end() {
+fn a_whole_text_is_joined_from_its_parts_and_its_end() {
     let mut table = JobTable::default();
     table.apply(Command::Accept(submission("job", 1)));
     table.apply(piece("job", 0, 0, &["a", "b", "x"]));
@@ -251,7 +251,7 @@
 
 proptest! {
     #[test]
-    fn what_was_read_at_a_position_stays(commands in proptest::collection::vec(any_command(), 1..60)) {
+    fn a_result_keeps_its_position_and_content(commands in proptest::collection::vec(any_command(), 1..60)) {
         let mut table = JobTable::default();
         let mut seen = std::collections::BTreeMap::new();
         for command in commands {
