--- a/crates/dispatch/examples/fleet_cost.rs
+++ b/crates/dispatch/examples/fleet_cost.rs
@@ -1,7 +1,7 @@
 //! What a leader's decisions cost at the size of a fleet, by kind of event.
 //!
 //! Plays a fleet whose replicas make events at a steady pace, with three models whose steps
-//! come every two seconds, and tells the time spent in [`Dispatcher::handle`]:
+//! come every two seconds, and prints the time spent in [`Dispatcher::handle`]:
 //!
 //! ```text
 //! cargo run --release -p brasspond-dispatch --example fleet_cost -- REPLICAS EDGES ITEMS SECONDS
@@ -12,10 +12,10 @@
     Action, Dispatcher, Event, OrderAnswer, OrderLeases, ReplicaReport, Settings,
 };
 use brasspond_fleet::{
-    Configuration, FleetView, Limits, Regions, ReplicaInfo, Route, RouteKind, ServedModel, Service,
-    Target,
+    Configuration, FleetView, Identity, Life, Limits, Regions, ReplicaInfo, Route, RouteKind,
+    ServedModel, Service, Target,
 };
-use brasspond_jobs::{Command, Item, JobTable, Submission};
+use brasspond_jobs::{Command, Draft, Item, JobTable, Submission};
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -34,7 +34,8 @@
     spec: RunSpec,
     machine: String,
     begun: u64,
-    told: u64,
+    /// Events that were reported so far.
+    reported: u64,
     length: u64,
 }
 
@@ -125,7 +126,7 @@
         notice_ms: None,
         region: None,
         warming_ms: 0,
-        life: brasspond_fleet::Life::UNKNOWN,
+        life: Life::UNKNOWN,
     }
 }
 
@@ -273,7 +274,7 @@
             };
             let made = ((self.now - run.begun) / EVENT_MS).min(run.length);
             let events = events_of(run, made);
-            run.told = run.told.max(made);
+            run.reported = run.reported.max(made);
             if events.is_empty() {
                 continue;
             }
@@ -313,91 +314,96 @@
         spent.1 += took;
         spent.2 = spent.2.max(took);
         for action in actions {
-            self.carry_out(action);
+            self.apply(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
-            Action::Run { machine, spec } => {
-                let table = self.table.job(&spec.job).expect("job");
-                let length = table.items[spec.item as usize].tokens / 75;
-                let told = spec.events.len() as u64;
-                let run = Running {
-                    machine,
-                    begun: self.now.saturating_sub(told * EVENT_MS),
-                    told,
-                    length,
-                    spec: *spec,
-                };
-                self.running.insert(run.spec.attempt, run);
-            }
-            Action::Cancel { machine, attempt } => {
-                if let Some(run) = self.running.remove(&attempt) {
-                    let made = ((self.now - run.begun) / EVENT_MS).min(run.length);
-                    let event = Event::Ended {
-                        machine,
-                        attempt,
-                        events: events_of(&run, made),
-                        end: RunEnd::Cancelled,
-                    };
-                    self.handle("cancelled", event);
-                }
-            }
-            Action::Finish(draft) => {
-                let (job, item) = (draft.job.clone(), draft.item);
-                self.table.apply(Command::Finish(vec![draft]));
-                self.handle(
-                    "listed",
-                    Event::Listed {
-                        job: job.clone(),
-                        item,
-                    },
-                );
-                let known = self.table.job(&job).expect("job");
-                if !known.ended && known.results.len() * 10 >= known.items.len() * 9 {
-                    self.table.apply(Command::End { job: job.clone() });
-                    self.handle("end", Event::JobEnded(job));
-                }
-            }
+            Action::Run { machine, spec } => self.start_run(machine, *spec),
+            Action::Cancel { machine, attempt } => self.cancel_run(machine, attempt),
+            Action::Finish(draft) => self.finish(draft),
             Action::Extend(piece) => {
                 self.table.apply(Command::Extend(vec![piece]));
             }
-            Action::AskReport { replica, .. } => {
-                let (sequence, versions) = self.sequences.entry(replica.clone()).or_default();
-                let report = ReplicaReport {
-                    versions: versions.clone(),
-                    busy: self
-                        .loading
-                        .iter()
-                        .any(|(_, loading, ..)| *loading == replica),
-                    sequence: *sequence,
-                    life: brasspond_fleet::Life::UNKNOWN,
-                };
-                let report = Some(report);
-                self.handle("report", Event::Report { replica, report });
-            }
+            Action::AskReport { replica, .. } => self.report_state(replica),
             Action::Order {
-                replica: ordered,
+                replica,
                 model,
                 version,
                 ..
-            } => {
-                let replica = ordered.id.to_string();
-                self.sequences.entry(replica.clone()).or_default().0 += 1;
-                let load = (self.now + LOAD_MS, replica, model, version);
-                self.loading.push(load);
-                let answer = OrderAnswer::Taken;
-                let replica = ordered;
-                self.handle("ordered", Event::Ordered { replica, answer });
-            }
+            } => self.load(replica, model, version),
             _ => {}
         }
     }
+
+    fn start_run(&mut self, machine: String, spec: RunSpec) {
+        let table = self.table.job(&spec.job).expect("job");
+        let length = table.items[spec.item as usize].tokens / 75;
+        let reported = spec.events.len() as u64;
+        let run = Running {
+            machine,
+            begun: self.now.saturating_sub(reported * EVENT_MS),
+            reported,
+            length,
+            spec,
+        };
+        self.running.insert(run.spec.attempt, run);
+    }
+
+    fn cancel_run(&mut self, machine: String, attempt: AttemptId) {
+        if let Some(run) = self.running.remove(&attempt) {
+            let made = ((self.now - run.begun) / EVENT_MS).min(run.length);
+            let event = Event::Ended {
+                machine,
+                attempt,
+                events: events_of(&run, made),
+                end: RunEnd::Cancelled,
+            };
+            self.handle("cancelled", event);
+        }
+    }
+
+    /// Lists an item; a job ends once nine tenths of its items are listed.
+    fn finish(&mut self, draft: Draft) {
+        let (job, item) = (draft.job.clone(), draft.item);
+        self.table.apply(Command::Finish(vec![draft]));
+        let listed = Event::Listed {
+            job: job.clone(),
+            item,
+        };
+        self.handle("listed", listed);
+        let known = self.table.job(&job).expect("job");
+        if !known.ended && known.results.len() * 10 >= known.items.len() * 9 {
+            self.table.apply(Command::End { job: job.clone() });
+            self.handle("end", Event::JobEnded(job));
+        }
+    }
+
+    fn report_state(&mut self, replica: String) {
+        let (sequence, versions) = self.sequences.entry(replica.clone()).or_default();
+        let mut loading = self.loading.iter();
+        let report = ReplicaReport {
+            versions: versions.clone(),
+            busy: loading.any(|(_, loading, ..)| *loading == replica),
+            sequence: *sequence,
+            life: Life::UNKNOWN,
+        };
+        let report = Some(report);
+        self.handle("report", Event::Report { replica, report });
+    }
+
+    fn load(&mut self, replica: Identity, model: String, version: u64) {
+        let id = replica.id.to_string();
+        self.sequences.entry(id.clone()).or_default().0 += 1;
+        self.loading.push((self.now + LOAD_MS, id, model, version));
+        let answer = OrderAnswer::Taken;
+        self.handle("ordered", Event::Ordered { replica, answer });
+    }
 }
 
 fn events_of(run: &Running, made: u64) -> Vec<StreamEvent> {
-    let events = (run.told + 1..=made).map(|id| StreamEvent {
+    let events = (run.reported + 1..=made).map(|id| StreamEvent {
         id,
         data: Bytes::from_static(&[b'x'; 400]),
         version: 1 + run.spec.min_version,
--- a/crates/dispatch/tests/demand.rs
+++ b/crates/dispatch/tests/demand.rs
@@ -14,7 +14,7 @@
 
 /// The model with longer answers needs more places for as many items.
 #[rstest]
-fn replicas_are_divided_by_the_tokens_that_jobs_expect() {
+fn replicas_are_divided_by_what_models_are_asked_for() {
     let mut fleet = view(9, 4);
     let configuration = fleet.configuration.as_mut().expect("there");
     let service = &mut Arc::make_mut(configuration).services[0];
@@ -48,7 +48,7 @@
 
 /// A single job must not weigh so much that it moves a replica to its model and back.
 #[rstest]
-fn jobs_that_alternate_move_no_replica_back_and_forth() {
+fn jobs_that_come_in_turn_move_no_replica_to_and_fro() {
     let mut fleet = view(9, 16);
     let configuration = fleet.configuration.as_mut().expect("there");
     let service = &mut Arc::make_mut(configuration).services[0];
--- a/crates/dispatch/tests/distance.rs
+++ b/crates/dispatch/tests/distance.rs
@@ -1,4 +1,4 @@
-//! Which edge runs an item, by where its replica stands.
+//! Which edge runs an item, by where its replica is.
 
 mod fixture;
 mod support;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use support::{submission, view};
 
-/// Zones are named after their region: `n1` and `n2` stand in `n`.
+/// Zones are named after their region: `n1` and `n2` are in `n`.
 fn edge_up(machine: &str, zone: &str) -> Event {
     Event::EdgeUp {
         machine: machine.to_string(),
@@ -52,7 +52,7 @@
     );
 }
 
-/// Nearness does not pile a whole job on one edge of the zone.
+/// Near edges are not given a whole job while others of the region have few runs.
 #[rstest]
 fn edges_of_the_region_share_many_runs() {
     let machines = edges_of_runs(&[("a", "s1"), ("b", "n2"), ("c", "n1")], 60);
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Places and loads while zones are evacuated.
+//! Placement and loads while zones are evacuated.
 
 mod fixture;
 mod support;
@@ -68,7 +68,7 @@
 #[case::one(&["a"], 6)]
 #[case::two(&["a", "c"], 4)]
 #[case::all(&ZONES, 0)]
-fn items_go_to_the_places_that_are_left(#[case] zones: &[&str], #[case] places: usize) {
+fn items_go_to_replicas_outside_evacuated_zones(#[case] zones: &[&str], #[case] places: usize) {
     let fleet = evacuated(zoned(8, 1), zones, 2);
     let mut fixture = Fixture::new(fleet, OrderLeases::default());
     fixture.edge("edge-1");
@@ -77,9 +77,9 @@
     assert!(zones_of(&actions).is_disjoint(&zones.iter().copied().collect()));
 }
 
-/// What waits is started as soon as the zone is taken back.
+/// Waiting items are started as soon as the evacuation ends.
 #[rstest]
-fn items_go_there_again_once_it_is_over() {
+fn items_go_to_a_zone_again_once_its_evacuation_ends() {
     let fleet = zoned(8, 1);
     let there = evacuated(fleet.clone(), &["a"], 2);
     let mut fixture = Fixture::new(there, OrderLeases::default());
@@ -113,7 +113,7 @@
 /// A run may end where it is; it is not moved for the evacuation, and goes on elsewhere
 /// where it breaks off.
 #[rstest]
-fn runs_end_there_and_go_on_elsewhere() {
+fn runs_in_an_evacuated_zone_end_there_or_go_on_elsewhere() {
     let fleet = zoned(8, 2);
     let mut fixture = Fixture::new(fleet.clone(), OrderLeases::default());
     fixture.edge("edge-1");
@@ -134,8 +134,8 @@
     assert!(!zones_of(&actions).contains("a"));
 }
 
-/// An order on its way is refused by an edge that knows before the leader does: the item
-/// waits for nothing but the next place.
+/// An edge that knows of the evacuation before the leader does refuses an order under way: the item
+/// waits only for the next free place.
 #[rstest]
 fn an_item_that_an_edge_refused_goes_elsewhere() {
     let fleet = zoned(8, 2);
@@ -156,14 +156,14 @@
     assert_ne!(zone_of(&runs(&actions)[0].replica), zone);
 }
 
-/// No load is ordered there, and those under way there hold up no other: a new version
+/// No load is ordered there, and those under way there count against no limit: a new version
 /// reaches as many replicas outside as the limit allows.
 #[rstest]
 fn loads_go_to_replicas_that_take_work() {
     let mut fixture = Fixture::new(zoned(40, 2), OrderLeases::default());
     let loading = asked_replicas(&fixture.name_version_of(&zoned(40, 2), 2));
     assert_eq!(loading.len(), 8, "a fifth of forty");
-    // The same fleet, but all that load first stand in one zone.
+    // The same fleet, but all that load first are in one zone.
     let mut fleet = zoned(40, 2);
     for (id, replica) in Arc::make_mut(&mut fleet.replicas).iter_mut() {
         let zone = if loading.contains(id) { "a" } else { "b" };
@@ -191,7 +191,7 @@
     asked.collect()
 }
 
-/// With half of the places gone each model has its part of those that are left.
+/// With half of the replicas gone each model has its part of the others.
 #[rstest]
 fn models_divide_the_replicas_that_take_work() {
     let mut fleet = zoned(16, 1);
@@ -200,7 +200,7 @@
     fleet.configuration = Some(Arc::new(configuration));
     let known = Arc::make_mut(&mut fleet.replicas);
     for replica in known.values_mut() {
-        // What serves the other model first lies in the zones to be evacuated alone.
+        // Replicas that serve the other model first are only in the zones to be evacuated.
         let is_other = ["a", "b"].contains(&replica.zone.as_str());
         replica.models[0].version = if is_other { 0 } else { 1 };
     }
--- a/crates/dispatch/tests/fuzzing.rs
+++ b/crates/dispatch/tests/fuzzing.rs
@@ -132,7 +132,7 @@
 /// Plays whose decisions are kept.
 const DIGESTED_PLAYS: u64 = 60;
 
-/// A change that is to leave all decisions as they are leaves these digests as they are.
+/// Guards changes that are to keep all decisions: the digests stay.
 #[rstest]
 fn decisions_are_as_kept() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
@@ -150,10 +150,10 @@
 
 /// Seeds that once failed, with the cause.
 #[rstest]
-// Events of an old link were taken twice.
+// Events of an old link counted twice.
 #[case(0, false, vec![(Fault::LinkBreaks { edge: 0, for_ms: 20, late: true }, 10)])]
-// Items of a job that allows only the newest version waited for a load that
-// waits until nothing does.
+// Items of a job that allows only the newest version waited for a load, which waited until no item
+// did.
 #[case(11_866_567_340_398_592_494, false, vec![
     (Fault::EdgeEnds(0), 1_085),
     (Fault::Version, 124),
@@ -164,7 +164,7 @@
     (Fault::LinkBreaks { edge: 2, for_ms: 211, late: false }, 10),
     (Fault::End, 10),
 ])]
-// The model sent a run on a new link before its edge had told of those it held,
+// The model sent a run on a new link before its edge had registered its runs,
 // which no leader does.
 #[case(15_702_645_483_952_888_106, false, vec![
     (Fault::ReplicaEnds(1), 941),
@@ -182,7 +182,7 @@
     (Fault::EdgeEnds(0), 741),
     (Fault::LeaderFalls { next: 1, pause_ms: 20, proposals_kept: false }, 10),
 ])]
-// A late word of the life before had the lower one, which wrote the entry, never count.
+// A late report of the life before had the lower one, which wrote the entry, never count.
 #[case(0, false, vec![
     (Fault::Evacuate(0, true), 131),
     (Fault::ReplicaReborn {
@@ -193,7 +193,7 @@
         set_back: true,
     }, 151),
 ])]
-// The entry of a lower life was passed over whole, and with it for how long it warms up.
+// The entry of a lower life was ignored whole, and with it its warm-up period.
 #[case(0, false, vec![
     (REBORN_EARLIER, 951),
     (Fault::ReplicaWarms(0, 2_601), 571),
@@ -256,9 +256,9 @@
     assert!(caught, "{mutation:?} was never noticed");
 }
 
-/// Replicas that start again and tell their first life are believed to hold what they lost.
+/// Replicas that start again and report their first life count as serving what they lost.
 #[rstest]
-fn a_rebirth_untold_is_noticed() {
+fn a_rebirth_that_is_not_reported_is_caught() {
     const SEEDS: u64 = 40;
     let mut strikes = vec![(Fault::Version, 6_000)];
     for replica in 0..4 {
@@ -286,7 +286,7 @@
 #[rstest]
 #[case::a_leave_ignored(Mutation::LeaveIgnored)]
 #[case::a_run_told_unsent(Mutation::SentToldUnsent)]
-fn a_bound_broken_is_noticed(#[case] mutation: Mutation) {
+fn a_rate_that_is_exceeded_is_caught(#[case] mutation: Mutation) {
     const SEEDS: u64 = 40;
     let mut strikes = vec![(Fault::Submit(60), 100)];
     for replica in 0..4 {
@@ -307,7 +307,7 @@
     assert!(!caught(None));
 }
 
-/// Scorings are ordered from an edge that stands still; it is given up, their job ends, and it
+/// Scorings are ordered from an edge that is suspended; it is given up, their job ends, and it
 /// goes on long after that.
 fn played_past_an_end(seed: u64, reads_first: usize, mutation: Option<Mutation>) {
     let stands = |edge| Fault::EdgeStands {
@@ -329,7 +329,7 @@
 const PLAYS_PAST_AN_END: std::ops::Range<u64> = 0..60;
 
 #[rstest]
-fn orders_of_an_older_telling_that_are_followed_are_noticed() {
+fn orders_of_an_older_registration_that_are_followed_are_caught() {
     let is_caught = |mutation| {
         PLAYS_PAST_AN_END.into_iter().any(|seed| {
             let play = || played_past_an_end(seed, 0, mutation);
@@ -340,9 +340,9 @@
     assert!(!is_caught(None));
 }
 
-/// An order to score that was read before the edge heard that it was given up is in no registration.
+/// An order to score that was read before the edge learned that it was given up is in no registration.
 #[rstest]
-fn scorings_read_before_a_telling_end_with_their_job() {
+fn scorings_read_before_a_registration_end_with_their_job() {
     for seed in PLAYS_PAST_AN_END {
         played_past_an_end(seed, usize::MAX, None);
     }
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -21,7 +21,7 @@
 }
 
 /// A long text ends after the replica is gone: it goes on elsewhere before, unless
-/// there is no room. A replica that leaves once its work is done keeps it.
+/// there is no free place. A replica that goes once its work is done keeps it.
 #[rstest]
 #[case::room_elsewhere(2, Some(2_400), 1)]
 #[case::no_room(1, Some(2_400), 0)]
--- a/crates/dispatch/tests/lives.rs
+++ b/crates/dispatch/tests/lives.rs
@@ -93,9 +93,9 @@
 }
 
 /// A replica starts again within a heartbeat, so that its entry never goes: the version that
-/// it lost is not believed held, and is ordered with the counts of the new life.
+/// it lost counts as not loaded, and is ordered with the counts of the new life.
 #[rstest]
-fn a_version_of_the_life_before_is_not_believed_held() {
+fn a_version_of_the_life_before_counts_as_not_loaded() {
     let mut fixture = loaded();
     let actions = fixture.set_replica(entry(SECOND, 1, 7));
     assert_eq!(reborn(&actions), [SECOND]);
@@ -107,9 +107,9 @@
     assert!(runs(&actions).is_empty());
 }
 
-/// The entry of the life before, and its reports, tell nothing once the new one was heard.
+/// The entry of the life before and its reports are ignored once the new life is known.
 #[rstest]
-fn a_life_never_goes_back() {
+fn an_older_life_is_ignored() {
     let mut fixture = loaded();
     fixture.set_replica(entry(SECOND, 1, 7));
     let actions = fixture.set_replica(entry(FIRST, 2, 7));
@@ -120,9 +120,9 @@
     assert!(runs(&actions).is_empty(), "believed of the life before");
 }
 
-/// The same at the next leader, which hears an old entry from an edge after a newer one.
+/// The same at the next leader, which receives an old entry from an edge after a newer one.
 #[rstest]
-fn a_new_leader_goes_back_to_no_life() {
+fn a_new_leader_ignores_an_older_life() {
     let mut before = loaded();
     before.set_replica(entry(SECOND, 1, 7));
     let mut after = before.next_leader();
@@ -134,10 +134,10 @@
     assert!(runs(&after.handle(Event::Tick)).is_empty());
 }
 
-/// While a load is under way: a report of the new life is heard before its entry, and the
-/// order is given anew.
+/// While a load is under way: a report of the new life arrives before its entry, and the order is
+/// given again.
 #[rstest]
-fn a_load_under_way_begins_anew() {
+fn a_load_under_way_begins_again_with_the_new_life() {
     let mut fixture = Fixture::new(fleet(1), OrderLeases::default());
     fixture.name_version(2);
     fixture.handle(report(FIRST, 1, false, 4));
@@ -147,7 +147,7 @@
     let actions = fixture.handle(report(SECOND, 1, false, 0));
     assert_eq!(reborn(&actions), [SECOND]);
     assert_eq!(orders(&actions), [(SECOND, 2, 0)]);
-    // What the life before said to its order comes late.
+    // The answer of the life before to its order comes late.
     fixture.handle(ordered(FIRST, OrderAnswer::Holds));
     let actions = fixture.accept(submission("job", &[1], 2));
     assert!(runs(&actions).is_empty(), "the new life holds version 1");
@@ -158,10 +158,10 @@
     assert_eq!(runs(&actions).len(), 1);
 }
 
-/// An order that was left unanswered is carried out by the next life, whose count is the
-/// same by chance: the replica is asked, and not ordered twice.
+/// The next life accepts an order that was not answered, as its count is the same by chance: the
+/// replica is asked for its state, and not ordered twice.
 #[rstest]
-fn an_order_may_be_carried_out_by_the_next_life() {
+fn an_order_that_the_next_life_accepted_is_not_repeated() {
     let mut fixture = Fixture::new(fleet(1), OrderLeases::default());
     fixture.name_version(2);
     fixture.handle(report(FIRST, 1, false, 0));
@@ -180,7 +180,7 @@
 
 /// Items that ran there go on elsewhere, after their last events.
 #[rstest]
-fn items_under_way_go_on_elsewhere() {
+fn runs_of_the_life_before_go_on_elsewhere() {
     let mut fixture = Fixture::new(fleet(2), OrderLeases::default());
     fixture.edge("edge-1");
     let actions = fixture.accept(submission("job", &[2, 1], 0));
@@ -206,9 +206,9 @@
     assert_eq!(again[0].life, SECOND, "the new life has a place");
 }
 
-/// The break of a stream of the life before is no fault of the new one, nor is its pace.
+/// A broken stream of the life before is no fault of the new one, and its pace does not count.
 #[rstest]
-fn the_new_life_is_not_blamed() {
+fn faults_and_paces_of_the_life_before_do_not_count() {
     let mut fixture = Fixture::new(fleet(1), OrderLeases::default());
     fixture.edge("edge-1");
     let first = runs(&fixture.accept(submission("job", &[1], 0)))[0].clone();
@@ -249,10 +249,10 @@
     assert_eq!(runs(&fixture.set_replica(entry(SECOND, 1, 7))).len(), 1);
 }
 
-/// A replica tells no life (a fleet may be mixed), and has lost a version: the first stream
-/// that says so has the belief dropped, and the version is ordered again.
+/// A replica reports no life (a fleet may be mixed), and has lost a version: the first stream that
+/// shows it has the version forgotten, and it is ordered again.
 #[rstest]
-fn a_belief_that_a_stream_disproves_is_dropped() {
+fn a_version_that_a_stream_disproves_is_forgotten() {
     let mut fixture = Fixture::new(view(1, 1), OrderLeases::default());
     fixture.edge("edge-1");
     fixture.name_version(2);
@@ -273,9 +273,9 @@
     assert!(is_asked(&actions), "it is to load");
 }
 
-/// Replicas that tell no life are as ever: their entries and reports void nothing.
+/// Entries and reports of replicas that report no life void nothing.
 #[rstest]
-fn an_untold_life_voids_nothing() {
+fn reports_without_a_life_void_nothing() {
     let mut fixture = Fixture::new(view(1, 1), OrderLeases::default());
     fixture.edge("edge-1");
     fixture.name_version(2);
@@ -292,7 +292,7 @@
 /// A replica that was warm starts again while it loads, and its entry does not say so yet: it
 /// is sent no more than one that warms up bears, which is nothing at first.
 #[rstest]
-fn a_new_life_is_taken_to_warm_up() {
+fn a_new_life_counts_as_warming_up_until_its_entry_comes() {
     let mut fleet = fleet(1);
     let configuration = Arc::make_mut(fleet.configuration.as_mut().expect("one"));
     configuration.services[0].warm_up = Some(WarmUp {
@@ -302,7 +302,7 @@
     let mut fixture = Fixture::new(fleet, OrderLeases::default());
     fixture.edge("edge-1");
     fixture.advance(10_000);
-    fixture.tell_clock("edge-1", 0);
+    fixture.report_clock("edge-1", 0);
     fixture.name_version(2);
     fixture.handle(report(FIRST, 1, false, 0));
     fixture.handle(ordered(FIRST, OrderAnswer::Taken));
--- a/crates/dispatch/tests/loads.rs
+++ b/crates/dispatch/tests/loads.rs
@@ -14,7 +14,7 @@
 struct Weights {
     at_once: usize,
     load_ms: u64,
-    /// When each replica will have loaded, and asks for the first time after that.
+    /// When each replica will have loaded, and whether it was asked since.
     loading: BTreeMap<String, u64>,
     sequence: BTreeMap<String, u64>,
     /// The most that loaded at a time since this was last set to zero.
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Answers what the dispatcher asks, and whatever follows from that.
-    fn carry_out(&mut self, fixture: &mut Fixture, now: u64, version: u64, actions: Vec<Action>) {
+    /// Answers what the dispatcher asks, and all that follows from that.
+    fn apply(&mut self, fixture: &mut Fixture, now: u64, version: u64, actions: Vec<Action>) {
         let mut actions = actions;
         while let Some(action) = actions.pop() {
             let event = match action {
@@ -78,7 +78,7 @@
 }
 
 /// Names a version each four seconds, so that half of the fleet is to load it, for
-/// `versions` versions; gives the most that loaded at a time for each.
+/// `versions` versions; returns the most that loaded at a time for each.
 fn most_by_version(weights: &mut Weights, replicas: usize, versions: u64) -> Vec<usize> {
     let mut fixture = Fixture::new(view(replicas, 2), OrderLeases::default());
     fixture.edge("edge-1");
@@ -87,20 +87,20 @@
     for version in 2..2 + versions {
         weights.most = 0;
         let actions = fixture.name_version(version);
-        weights.carry_out(&mut fixture, now, version, actions);
+        weights.apply(&mut fixture, now, version, actions);
         for _ in 0..40 {
             fixture.advance(100);
             now += 100;
             let actions = fixture.handle(Event::Tick);
-            weights.carry_out(&mut fixture, now, version, actions);
+            weights.apply(&mut fixture, now, version, actions);
         }
         most.push(weights.most);
     }
     most
 }
 
-/// adrese-riga-large, quiet-1: ten of 122 replicas loaded at a time without a break
-/// while 300 items waited for replicas that serve them.
+/// With a fixed number of loads at a time items wait for replicas that serve them, though the store
+/// bears more.
 #[rstest]
 fn more_load_at_a_time_while_loads_take_no_longer() {
     let mut weights = Weights::new(40, 900);
@@ -130,8 +130,7 @@
     asked.collect()
 }
 
-/// adrese-riga-large: a step's long items stood still for the length of a load when
-/// the next step came, and ended that step 0.9 s late.
+/// A load pauses a step's long runs, which end that step late.
 #[rstest]
 fn long_runs_are_not_held_up_while_another_replica_serves_the_next_step() {
     let mut fixture = Fixture::new(view(5, 2), OrderLeases::default());
@@ -146,9 +145,9 @@
     assert!(asked(&actions).is_empty(), "replica-4 serves: {actions:?}");
 }
 
-/// Where no replica serves the next step, runs stand still for a load.
+/// Where no replica serves the next step, runs are paused for a load.
 #[rstest]
-fn some_replica_loads_where_none_serves_the_next_step() {
+fn a_replica_with_runs_loads_where_none_serves_the_next_step() {
     let mut fixture = Fixture::new(view(4, 2), OrderLeases::default());
     fixture.edge("edge-1");
     fixture.accept(submission("before", &[9; 8], 1));
@@ -156,9 +155,8 @@
     assert!(!asked(&actions).is_empty(), "{actions:?}");
 }
 
-/// A leader plans before it knows the fleet: what it begins with follows the fleet that
-/// it comes to know (llyfr-rollout-now-grown at 300 machines: two loads at a time for a
-/// thousand replicas a model, one more each 1.3 s).
+/// A leader plans before it knows the fleet: the limit that it begins with follows the fleet that it
+/// comes to know.
 #[rstest]
 fn the_first_limit_is_that_of_the_fleet_once_it_is_known() {
     let mut fleet = view(0, 2);
--- a/crates/dispatch/tests/model/carry.rs
+++ b/crates/dispatch/tests/model/carry.rs
@@ -1,10 +1,10 @@
-//! What the leader wants, carried out.
+//! The leader's actions, applied to the model.
 
 use super::edge::ToEdge;
 use super::oracle::GivenOrder;
 use super::replica::{ArrivedOrder, Replica};
 use super::{Answer, Mutation, STEP_MS, World};
-use brasspond_cluster_protocol::RunSpec;
+use brasspond_cluster_protocol::{RunSpec, ScoringSpec};
 use brasspond_dispatch::{Action, Event, OrderAnswer, ReplicaReport};
 use brasspond_fleet::{Identity, Life};
 use brasspond_jobs::{Command, Draft};
@@ -20,33 +20,19 @@
         };
         dispatcher.set_confirmed_leader(true, self.now);
         for action in dispatcher.handle(event, &self.table, self.now) {
-            self.carry_out(action);
+            self.apply(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         self.digest.add(tag(&action), &action);
         match action {
-            Action::Run { machine, spec } => {
-                let ended = self.ended_at.contains_key(&spec.job);
-                assert!(!ended, "{} has ended and runs again", spec.job);
-                let job = self.table.job(&spec.job).expect("a job that runs is known");
-                let is_made = job.drafts.contains_key(&spec.item);
-                assert!(!is_made, "{} is whole and made again", spec.item_id);
-                self.check_evacuated(&spec.replica);
-                self.check_held(&spec);
-                self.check_edge(&machine, &spec.job);
-                self.check_replica(&spec.replica, &spec.job);
-                self.tell_edge(
-                    &machine,
-                    ToEdge::Run(self.known_registration(&machine), spec),
-                );
-            }
+            Action::Run { machine, spec } => self.order_run(&machine, spec),
             Action::Cancel { machine, attempt } => {
-                self.tell_edge(&machine, ToEdge::Cancel(self.term, attempt));
+                self.send_to_edge(&machine, ToEdge::Cancel(self.term, attempt));
             }
             Action::Recorded { machine, attempt } => {
-                self.tell_edge(&machine, ToEdge::Recorded(attempt));
+                self.send_to_edge(&machine, ToEdge::Recorded(attempt));
             }
             Action::List(listing) => {
                 self.oracle.check_listing(&listing, &self.table);
@@ -63,16 +49,7 @@
                 self.propose(Command::Extend(vec![piece]));
             }
             Action::ListScored(score) => self.propose(Command::Score(vec![score])),
-            Action::Score { machine, spec } => {
-                let ended = self.ended_at.contains_key(&spec.job);
-                assert!(!ended, "{} has ended and is scored", spec.job);
-                self.check_edge(&machine, &spec.job);
-                assert_eq!(&spec.regions, self.regions(), "{} is scored", spec.job);
-                self.tell_edge(
-                    &machine,
-                    ToEdge::Score(self.known_registration(&machine), spec),
-                );
-            }
+            Action::Score { machine, spec } => self.order_scoring(&machine, spec),
             Action::Reborn { .. } => {}
             Action::AskReport { replica, .. } => {
                 self.check_evacuated(&replica);
@@ -91,6 +68,29 @@
         }
     }
 
+    fn order_run(&mut self, machine: &str, spec: Box<RunSpec>) {
+        let ended = self.ended_at.contains_key(&spec.job);
+        assert!(!ended, "{} has ended and runs again", spec.job);
+        let job = self.table.job(&spec.job).expect("a job that runs is known");
+        let is_made = job.drafts.contains_key(&spec.item);
+        assert!(!is_made, "{} is whole and made again", spec.item_id);
+        self.check_evacuated(&spec.replica);
+        self.check_loaded(&spec);
+        self.check_edge(machine, &spec.job);
+        self.check_replica(&spec.replica, &spec.job);
+        let registration = self.known_registration(machine);
+        self.send_to_edge(machine, ToEdge::Run(registration, spec));
+    }
+
+    fn order_scoring(&mut self, machine: &str, spec: Box<ScoringSpec>) {
+        let ended = self.ended_at.contains_key(&spec.job);
+        assert!(!ended, "{} has ended and is scored", spec.job);
+        self.check_edge(machine, &spec.job);
+        assert_eq!(&spec.regions, self.regions(), "{} is scored", spec.job);
+        let registration = self.known_registration(machine);
+        self.send_to_edge(machine, ToEdge::Score(registration, spec));
+    }
+
     /// The entry that keeps a draft, or one that lists it at once where that fault
     /// is built in.
     fn kept(&self, draft: Draft) -> Command {
@@ -107,7 +107,7 @@
         edge.expect("a known edge").known_registration
     }
 
-    pub(super) fn tell_edge(&mut self, machine: &str, message: ToEdge) {
+    pub(super) fn send_to_edge(&mut self, machine: &str, message: ToEdge) {
         let edge = self.edges.iter_mut().find(|edge| edge.machine == machine);
         let edge = edge.expect("a known edge");
         if edge.linked && edge.has_registered {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// What a replica says of itself.
+    /// What a replica reports of itself.
     pub(super) fn report_of(&self, replica: &Replica) -> ReplicaReport {
         ReplicaReport {
             versions: vec![("model".to_string(), replica.version)],
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The life that a replica tells, or its first where that fault is built in.
+    /// The life that a replica reports, or its first where that fault is built in.
     pub(super) fn life_of(&self, replica: &Replica) -> Life {
         if self.mutation == Some(Mutation::RebirthUntold) && replica.tells {
             return Life::told(replica.first_born);
@@ -134,15 +134,15 @@
         replica.life()
     }
 
-    /// A replica whose entry told its present life, which is known to be the newest.
+    /// A replica whose entry has its present life, which is known to be the newest.
     fn told(&self, id: &str) -> Option<&Replica> {
         let mut replicas = self.replicas.iter();
         replicas.find(|one| one.id == id && one.is_life_told && one.is_ordered)
     }
 
     /// No run goes to a replica for a version that it lost with its start, once its entry
-    /// told that it started again.
-    fn check_held(&self, spec: &RunSpec) {
+    /// shows that it started again.
+    fn check_loaded(&self, spec: &RunSpec) {
         let told = self.told(&spec.replica);
         let lacks = told.is_some_and(|one| one.version < spec.min_version && !one.went_back);
         assert!(!lacks, "{} lost what it is believed to hold", spec.replica);
@@ -224,7 +224,7 @@
     }
 }
 
-/// Tells actions apart that hold the same values.
+/// Distinguishes actions that have the same values.
 fn tag(action: &Action) -> u8 {
     match action {
         Action::Run { .. } => 0,
--- a/crates/dispatch/tests/model/edge.rs
+++ b/crates/dispatch/tests/model/edge.rs
@@ -1,4 +1,4 @@
-//! An edge as the model has it: runs it holds, and its link to the leader.
+//! An edge of the model: its runs and its link to the leader.
 
 use brasspond_cluster_protocol::{
     AttemptId, Pace, RunEnd, RunReport, RunSpec, ScoringEnd, ScoringSpec, StreamEvent,
@@ -35,14 +35,14 @@
         })
     }
 
-    /// What a report tells of this run.
+    /// The report on this run.
     pub fn progress(&mut self, attempt: AttemptId) -> ToLeader {
-        let events = self.untold();
+        let events = self.unreported();
         let pace = self.pace(events.len());
         ToLeader::Progress(attempt, events, pace)
     }
 
-    pub fn untold(&mut self) -> Vec<StreamEvent> {
+    pub fn unreported(&mut self) -> Vec<StreamEvent> {
         let events = self.events[self.told..].to_vec();
         self.told = self.events.len();
         events
@@ -58,7 +58,7 @@
     pub call: ScoringCall,
     /// Time that it takes, in ms.
     pub takes: u64,
-    /// None: it waits for leave to begin.
+    /// None: it waits for a work lease.
     pub ends_at: Option<u64>,
 }
 
@@ -78,12 +78,12 @@
 /// From the leader to an edge.
 #[derive(Clone, Debug)]
 pub enum ToEdge {
-    /// The registration of runs that the leader goes by, and an order.
+    /// The registration by which the leader knows the runs, and an order.
     Run(u64, Box<RunSpec>),
     Score(u64, Box<ScoringSpec>),
     Cancel(u64, AttemptId),
     Recorded(AttemptId),
-    /// Leave to begin calls until then.
+    /// The work lease lasts until then.
     Leave(u64),
 }
 
@@ -94,24 +94,23 @@
     pub calling: Vec<Calling>,
     pub newest_term: u64,
     pub draining: bool,
-    /// Whether the leader hears it; else when it comes back.
+    /// Whether its link works; else when it comes back.
     pub linked: bool,
-    /// Whether it told the leader of its runs on this link: nothing is sent to it
-    /// before.
+    /// Whether it registered its runs on this link: nothing is sent to it before.
     pub has_registered: bool,
     pub back_at: u64,
-    /// Its newest registration of its runs, and the one that the leader goes by.
+    /// Its newest registration, and the one by which the leader knows its runs.
     pub registration: u64,
     pub known_registration: u64,
     /// Until when calls may begin.
     pub leave_until: u64,
-    /// When it began to stand still, and until when it does; none: it does not.
+    /// Since when and until when it is suspended; none: it is not.
     pub stands: Option<(u64, u64)>,
-    /// How many of the messages that waited it reads before it hears that it was given up.
+    /// How many of the messages that waited it reads before it learns that it was given up.
     pub reads_first: usize,
     /// When the leader gives it up, if it does not come back before.
     pub given_up_at: Option<u64>,
-    /// What the leader tells it takes so many ms more.
+    /// Messages of the leader to it take so many ms more.
     pub lag_ms: u64,
     /// Its clock less the world's time, in ms.
     pub ahead: u64,
--- a/crates/dispatch/tests/model/fault.rs
+++ b/crates/dispatch/tests/model/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that strike the world, and faults built into it.
+//! Faults that happen to the world, and faults built into it.
 
 use super::replica::{FIRST_BORN, Replica};
 use super::{Answer, SLOTS, World, zone_of};
@@ -26,8 +26,8 @@
         for_ms: u64,
         late: bool,
     },
-    /// An edge stands still for so many ms, and messages wait for it; where it was given up it
-    /// reads so many of them before it tells its runs.
+    /// An edge is suspended for so many ms, and messages wait for it; where it was given up it reads
+    /// so many of them before it registers its runs.
     EdgeStands {
         edge: usize,
         for_ms: u64,
@@ -41,7 +41,7 @@
     ReplicaDark(usize, u64),
     /// A replica becomes slow, or its old self.
     ReplicaSlow(usize, u64),
-    /// A replica takes its leave and is replaced.
+    /// A replica drains and is replaced.
     ReplicaDrains(usize),
     /// A replica's streams break off.
     StreamsBreak(usize),
@@ -52,24 +52,24 @@
     /// A replica starts again under its id.
     ReplicaReborn {
         replica: usize,
-        /// Its entry tells so many ms later.
+        /// Its entry is written so many ms later.
         entry_ms: u64,
         /// Streams that it made are silent for good; else they break off.
         is_cut: bool,
-        /// It holds the version that it held.
+        /// It still serves the version that it served.
         keeps: bool,
         /// Its machine's clock was set back meanwhile.
         set_back: bool,
     },
-    /// What the leader tells an edge takes so many ms more.
+    /// Messages of the leader to an edge take so many ms more.
     EdgeLags(usize, u64),
-    /// A replica leaves orders unanswered and carries them out late.
+    /// A replica does not answer orders and applies them late.
     OrdersLate(usize, u8),
-    /// The zone of a replica is evacuated, or taken back.
+    /// The zone of a replica is evacuated, or its evacuation ends.
     Evacuate(usize, bool),
     /// A trainer names a version.
     Version,
-    /// A trainer hands in a step of so many items.
+    /// A trainer submits a step of so many items.
     Submit(usize),
     /// A trainer ends a step.
     End,
@@ -82,15 +82,15 @@
 pub enum Mutation {
     /// A new leader respects no lease.
     LeaseIgnored,
-    /// Replicas carry out orders whatever their count.
+    /// Replicas apply orders whatever their count.
     CountIgnored,
-    /// Edges tell the newest version whatever made an event.
+    /// Edges report the newest version whatever made an event.
     VersionMislabelled,
     /// Edges leave out an event and number the others on.
     EventSkipped,
-    /// Edges outside the regions tell that they are inside.
+    /// Edges outside the regions report that they are inside.
     RegionMistold,
-    /// Edges never stop a run that they are told to stop.
+    /// Edges never stop a cancelled run.
     CancelIgnored,
     /// Edges score a text before its last event is made.
     ScoredEarly,
@@ -102,19 +102,19 @@
     ScoreRedrawn,
     /// Texts that wait for their scores are lost with the leader.
     DraftLost,
-    /// The leader is never told that a zone is evacuated.
+    /// The leader never learns that a zone is evacuated.
     EvacuationUntold,
     /// A new leader begins with what was known before it led.
     EvacuationBelieved,
     /// Parts of a text are kept at another place than they belong.
     PieceMisplaced,
-    /// Edges send a run however late its leave reaches them.
+    /// Edges send a run however late its permit reaches them.
     LeaveIgnored,
-    /// Replicas that start again tell their first life.
+    /// Replicas that start again report their first life.
     RebirthUntold,
-    /// Edges tell of runs that they sent that they did not.
+    /// Edges report runs that they sent as not sent.
     SentToldUnsent,
-    /// Edges follow orders that were under way while they told their runs.
+    /// Edges follow orders that were under way while they registered their runs.
     TellingIgnored,
 }
 
@@ -171,7 +171,7 @@
         }
     }
 
-    /// An operator writes an evacuation, or takes it back. From the first on, nothing may be
+    /// An operator begins an evacuation, or ends it. From the first on, nothing may be
     /// done by a leader that does not know which zones are evacuated.
     fn evacuate(&mut self, number: usize, begins: bool) {
         let zone = zone_of(number);
@@ -223,7 +223,7 @@
         if proposals_kept {
             self.commit_due();
         }
-        // What callers handed in is sent again by them until it is taken.
+        // Callers submit again until their job is accepted.
         self.proposals.retain(|one| one.is_callers());
         self.read_log_again();
         for edge in &mut self.edges {
@@ -237,7 +237,7 @@
         self.elected_at = self.now + pause_ms;
     }
 
-    /// The next leader's table comes out of the log.
+    /// The next leader's table is built from the log.
     fn read_log_again(&mut self) {
         let mut table = JobTable::default();
         for command in self.log.clone() {
@@ -288,7 +288,7 @@
         edge.given_up_at = Some(self.now + LINK_RETURN);
         edge.to_edge.clear();
         if late {
-            // What the old link carries arrives after the new link's first words.
+            // Messages of the old link arrive after the new link's first ones.
             for message in &mut edge.to_leader {
                 message.0 = edge.back_at + 60;
             }
@@ -316,7 +316,7 @@
             self.end_run(number, attempt, RunEnd::Cancelled);
         }
         for calling in std::mem::take(&mut self.edges[number].calling) {
-            self.tell_scored(number, calling.attempt, ScoringEnd::Unanswered);
+            self.report_scored(number, calling.attempt, ScoringEnd::Unanswered);
         }
     }
 
@@ -337,7 +337,7 @@
     }
 
     fn reborn(&mut self, number: usize, entry_ms: u64, is_cut: bool, keeps: bool, back: bool) {
-        self.tell_late(number);
+        self.report_late(number);
         if is_cut {
             self.replicas[number].streams.clear();
         } else {
@@ -357,8 +357,8 @@
         self.view_changed();
     }
 
-    /// What the life that ends said last comes late.
-    fn tell_late(&mut self, number: usize) {
+    /// The last report of the life that ends comes late.
+    fn report_late(&mut self, number: usize) {
         let replica = &self.replicas[number];
         if !replica.tells {
             return;
@@ -385,7 +385,7 @@
         }
     }
 
-    /// A replica begins to warm up; until a view tells of it nobody can know.
+    /// A replica begins to warm up, which is known once a view has it.
     fn warm_up(&mut self, number: usize, ms: u64) {
         let replica = &mut self.replicas[number];
         if !replica.is_warming(self.now) {
--- a/crates/dispatch/tests/model/mod.rs
+++ b/crates/dispatch/tests/model/mod.rs
@@ -35,7 +35,7 @@
 const VIEW_LAG: u64 = 300;
 /// Longest that a healed world may need to finish all jobs, in ms.
 const FINISH_MS: u64 = 60_000;
-/// Orders are carried out at the latest after this time, in ms.
+/// Orders are applied at the latest after this time, in ms.
 const LATEST_ORDER: u64 = 13_000;
 /// Attempts a route allows.
 const MAX_ATTEMPTS: u32 = 3;
@@ -46,7 +46,7 @@
 /// Where jobs may be while they are bound.
 const INSIDE: &str = "inside";
 
-/// The region of an edge or a replica: the last of each stands outside.
+/// The region of an edge or a replica: the last of each is outside.
 fn region_of(number: usize, count: usize) -> &'static str {
     if number + 1 == count {
         "outside"
@@ -104,9 +104,9 @@
     reported_at: u64,
     /// Zones that are evacuated.
     evacuated: BTreeSet<Arc<str>>,
-    /// Those that the leader was told, or should have been.
-    told_evacuated: BTreeSet<Arc<str>>,
-    /// Whether the present leader was told which zones are.
+    /// Those that the leader received, or should have.
+    known_evacuated: BTreeSet<Arc<str>>,
+    /// Whether the present leader received which zones are.
     leader_knows: bool,
     /// All that leaders decided.
     digest: Digest,
@@ -147,7 +147,7 @@
             ticked_at: 0,
             reported_at: 0,
             evacuated: BTreeSet::new(),
-            told_evacuated: BTreeSet::new(),
+            known_evacuated: BTreeSet::new(),
             leader_knows: false,
             digest: Digest::default(),
         };
@@ -162,7 +162,7 @@
         for replica in &mut world.replicas {
             replica.checks_count = mutation != Some(Mutation::CountIgnored);
         }
-        // A fleet may be mixed: one replica of it tells no life.
+        // A fleet may be mixed: one replica of it reports no life.
         if seed.is_multiple_of(4) {
             world.replicas[REPLICAS - 1].tells = false;
             world.replicas[REPLICAS - 1].is_ordered = false;
@@ -184,8 +184,7 @@
         }
     }
 
-    /// A trainer hands in a step; items of the step before that were not done
-    /// come again under their names.
+    /// A trainer submits a step, with the items of the step before that were not done.
     pub fn submit(&mut self, items: usize) {
         let lag = self.random.random_range(0..2);
         let min_version = self.version.saturating_sub(lag).max(1);
@@ -271,7 +270,7 @@
         self.view_at.get_or_insert(self.now + VIEW_LAG);
     }
 
-    /// The view as the platform would tell it now.
+    /// The view as the platform has it now.
     fn renew_view(&mut self) {
         let replicas = self.replicas.iter().map(|replica| {
             let mut info = support::replica(replica.number, SLOTS as u32);
@@ -290,7 +289,7 @@
         });
         self.view.replicas = Arc::new(replicas.collect());
         for replica in &mut self.replicas {
-            // What was sent before the view told of it comes within the longest lag.
+            // Requests sent before the view had it arrive within the longest lag.
             let told = self.now + LONGEST_LAG + 2 * STEP_MS;
             let is_entry_told = self.now >= replica.told_from;
             replica.is_life_told |= is_entry_told;
@@ -311,13 +310,13 @@
             self.view.evacuated = Arc::new(self.evacuated.clone());
         }
         self.view.evacuated_revision += 1;
-        self.told_evacuated = self.evacuated.clone();
+        self.known_evacuated = self.evacuated.clone();
         self.leader_knows = self.dispatcher.is_some();
         self.renew_regions();
     }
 
-    /// Nothing goes to a replica whose zone the leader was told is evacuated, nor anywhere
-    /// before it was told.
+    /// Nothing goes to a replica whose zone the leader knows as evacuated, nor anywhere
+    /// before it knows.
     fn check_evacuated(&self, replica: &str) {
         if !self.view.needs_evacuated {
             return;
@@ -328,7 +327,7 @@
         );
         let there = self.replicas.iter().find(|one| one.id == replica);
         let zone = there.map(|one| zone_of(one.number));
-        let is_out = zone.is_some_and(|zone| self.told_evacuated.contains(&zone));
+        let is_out = zone.is_some_and(|zone| self.known_evacuated.contains(&zone));
         assert!(
             !is_out,
             "{replica} is sent work though its zone is evacuated"
@@ -374,8 +373,8 @@
         &configuration.routes[0].regions
     }
 
-    /// All that troubles ends; every open job must then be finished, no run be
-    /// left over, and every place be free.
+    /// All faults end; then every open job must finish, no run be left over, and every place be
+    /// free.
     pub fn finish(&mut self) {
         self.heal();
         let until = self.now + FINISH_MS;
@@ -383,7 +382,7 @@
             self.run(500);
         }
         assert!(self.is_finished(), "jobs are left: {}", self.unfinished());
-        // Orders left unanswered before may still be carried out.
+        // Orders that were not answered may still be applied.
         self.run(LATEST_ORDER);
         let counts = self.dispatcher.as_ref().expect("a leader").counts();
         assert_eq!(counts, (0, 0), "runs are left over");
--- a/crates/dispatch/tests/model/oracle.rs
+++ b/crates/dispatch/tests/model/oracle.rs
@@ -33,7 +33,7 @@
     versions: Vec<u64>,
 }
 
-/// An order as it left for a replica.
+/// An order as it was sent to a replica.
 #[derive(Clone, Debug)]
 pub struct GivenOrder {
     pub replica: String,
@@ -55,7 +55,7 @@
     pub named: u64,
     pub max_attempts: u32,
     pub orders: BTreeMap<String, Vec<GivenOrder>>,
-    /// Whether an item brings a scoring call, in all its jobs.
+    /// Whether an item has a scoring call, in all its jobs.
     pub scored: HashMap<String, bool>,
     /// Scoring calls of an item, one for each of its jobs.
     pub calls: HashMap<String, BTreeSet<String>>,
@@ -185,7 +185,7 @@
         assert!(is_own, "{item} has another's score");
     }
 
-    /// Results that stand in the table keep what was first read of them.
+    /// Results in the table stay as they were first read.
     pub fn check_results(&mut self, table: &JobTable, job_id: &str) {
         let Some(job) = table.job(job_id) else {
             return;
@@ -259,7 +259,7 @@
         given.push(order);
     }
 
-    /// No item stands twice, and nothing but what was handed in.
+    /// No item is listed twice, and only items that were submitted are.
     pub fn check_table(&self, table: &JobTable, submitted: &[Submission]) {
         for submission in submitted {
             let job = table.job(&submission.id).expect("an accepted job is kept");
--- a/crates/dispatch/tests/model/replica.rs
+++ b/crates/dispatch/tests/model/replica.rs
@@ -1,5 +1,5 @@
-//! A replica as the model has it: streams of numbered events, loads of weights
-//! counted by sequence, orders that are carried out late.
+//! A replica of the model: streams of numbered events, loads of weights counted by sequence,
+//! orders that are applied late.
 
 use brasspond_cluster_protocol::AttemptId;
 use brasspond_dispatch::OrderAnswer;
@@ -40,13 +40,13 @@
     pub dark_until: u64,
     pub loading: Option<(u64, u64)>,
     pub streams: Vec<Stream>,
-    /// Orders taken but carried out later.
+    /// Orders that were accepted and are applied later.
     pub late: Vec<(u64, ArrivedOrder)>,
-    /// Share of orders, in 256ths, that are left unanswered and done late.
+    /// Share of orders, in 256ths, that are not answered and are applied late.
     pub late_orders: u8,
     /// Until when it warms up.
     pub warming_until: u64,
-    /// From when on its bound must be kept: all that was sent before it was told has come.
+    /// From when on its bound must be kept: all that was sent before it was known has arrived.
     pub bounded_from: u64,
     /// When its present life began.
     pub born: u64,
@@ -54,17 +54,17 @@
     pub first_born: u64,
     /// Lives under its id so far.
     pub lives: u64,
-    /// Whether it tells its lives at all.
+    /// Whether it reports its lives at all.
     pub tells: bool,
     /// Until when its entry is the one of the life before.
     pub told_from: u64,
-    /// Its present life was told by its entry, and can be known to be the newest.
+    /// Its entry has its present life, which can be known to be the newest.
     pub is_life_told: bool,
-    /// Its present life is told, and higher than those before.
+    /// Its present life is reported, and higher than those before.
     pub is_ordered: bool,
-    /// It has loaded an older version than it held: an order was carried out late.
+    /// It has loaded an older version than it had: an order was applied late.
     pub went_back: bool,
-    /// Whether the expected count is looked at; a built-in fault turns it off.
+    /// Whether the expected count is checked; a built-in fault turns it off.
     pub checks_count: bool,
 }
 
@@ -105,7 +105,7 @@
         now < self.dark_until
     }
 
-    /// It starts again under its id: it knows nothing of before, but for the version it held
+    /// It starts again under its id: it knows nothing of before, but for the version it had
     /// if it `keeps` that. What was sent to the life before may still reach this one.
     pub fn start_again(&mut self, born: u64, keeps: bool) {
         self.born = born;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The life that it tells.
+    /// The life that it reports.
     pub fn life(&self) -> Life {
         if self.tells {
             Life::told(self.born)
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes an order; the answer it gives.
+    /// Receives an order; returns its answer.
     pub fn order(&mut self, order: &ArrivedOrder, now: u64) -> OrderAnswer {
         if self.loading.is_some() || (self.checks_count && order.expected_orders != self.sequence) {
             return OrderAnswer::Conflict;
--- a/crates/dispatch/tests/model/time.rs
+++ b/crates/dispatch/tests/model/time.rs
@@ -13,11 +13,11 @@
 const REPORT_MS: u64 = 250;
 /// Pause between two ticks of a leader, in ms.
 const TICK_MS: u64 = 100;
-/// Longest that an edge waits for a replica's first word, in ms.
+/// Longest that an edge waits for a replica's first event, in ms.
 const HEAD_MS: u64 = 3_000;
 /// A job's end must have stopped its runs by then, in ms.
 const CANCEL_MS: u64 = 3_000;
-/// Leave to begin calls, in ms, and the pause between two renewals.
+/// Length of a work lease, in ms, and the pause between two renewals.
 const LEAVE_MS: u64 = 2_000;
 const LEAVE_PAUSE: u64 = 500;
 /// An edge that is silent so long is given up, in ms.
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Edges that stand still are given up after a while, and go on some time.
+    /// Suspended edges are given up after some time, and go on later.
     fn tend_standing(&mut self) {
         for number in 0..self.edges.len() {
             let edge = &mut self.edges[number];
@@ -164,8 +164,8 @@
         }
     }
 
-    /// An edge goes on. Where nothing is held of it any more it tells its runs as soon as it
-    /// hears so; orders that waited before that word are read before.
+    /// An edge goes on. Where the leader gave it up it registers its runs as soon as it learns so;
+    /// orders that arrived before that message are read first.
     fn wake(&mut self, number: usize) {
         let edge = &mut self.edges[number];
         edge.stands = None;
@@ -183,11 +183,11 @@
         self.tell_runs(number);
     }
 
-    /// The leader gives an edge whose runs it knows leave to begin calls.
+    /// The leader renews the work lease of an edge whose runs it knows.
     fn give_leave(&mut self, number: usize) {
         if self.dispatcher.is_some() {
             let machine = self.edges[number].machine.clone();
-            self.tell_edge(&machine, ToEdge::Leave(self.now + LEAVE_MS));
+            self.send_to_edge(&machine, ToEdge::Leave(self.now + LEAVE_MS));
         }
     }
 
@@ -210,7 +210,7 @@
             .push_front((self.now, ToLeader::Runs(edge.registration, reports)));
     }
 
-    /// The region that an edge tells of itself.
+    /// The region that an edge reports of itself.
     fn told_region(&self, number: usize) -> &'static str {
         if self.mutation == Some(Mutation::RegionMistold) {
             return INSIDE;
@@ -222,7 +222,7 @@
         self.tell_leader(number, ToLeader::Draining);
     }
 
-    /// An edge tells what its runs made since the last time.
+    /// An edge reports what its runs made since the last report.
     pub(super) fn report_progress(&mut self, number: usize) {
         if !self.edges[number].linked || self.edges[number].stands.is_some() {
             return;
@@ -248,7 +248,7 @@
             return;
         }
         held.end = Some(end);
-        let events = held.untold();
+        let events = held.unreported();
         for replica in &mut self.replicas {
             replica.streams.retain(|stream| stream.attempt != attempt);
         }
@@ -267,7 +267,7 @@
         }
     }
 
-    /// An edge makes a scoring call for an item of a job, when it has leave.
+    /// An edge makes a scoring call for an item of a job, once it has a work lease.
     fn call(
         &mut self,
         number: usize,
@@ -276,7 +276,7 @@
         call: ScoringCall,
     ) {
         if self.edges[number].draining {
-            return self.tell_scored(number, attempt, ScoringEnd::Unanswered);
+            return self.report_scored(number, attempt, ScoringEnd::Unanswered);
         }
         let takes = self.random.random_range(2..90);
         self.edges[number].calling.push(Calling {
@@ -289,7 +289,7 @@
         });
     }
 
-    /// Edges begin the calls that they have leave for: none of a job that ended long ago.
+    /// Edges begin the calls that their work lease allows: none of a job that ended long ago.
     fn begin_calls(&mut self, number: usize) {
         let edge = &mut self.edges[number];
         if self.now >= edge.leave_until {
@@ -318,7 +318,7 @@
             self.edges[number].calling = open;
             for calling in due {
                 let end = self.answer_scoring(&calling);
-                self.tell_scored(number, calling.attempt, end);
+                self.report_scored(number, calling.attempt, end);
             }
         }
     }
@@ -342,7 +342,7 @@
         ScoringEnd::Scored(self.oracle.sign(call, made_at))
     }
 
-    pub(super) fn tell_scored(&mut self, number: usize, attempt: AttemptId, end: ScoringEnd) {
+    pub(super) fn report_scored(&mut self, number: usize, attempt: AttemptId, end: ScoringEnd) {
         if let Some(held) = self.edges[number].held.get_mut(&attempt) {
             held.scoring = Some(end.clone());
         }
@@ -413,10 +413,10 @@
 
     fn on_edge_message(&mut self, number: usize, message: ToEdge) {
         match message {
-            ToEdge::Run(registration, spec) if self.goes_by(number, registration) => {
+            ToEdge::Run(registration, spec) if self.is_newest(number, registration) => {
                 self.start_run(number, *spec);
             }
-            ToEdge::Score(registration, spec) if self.goes_by(number, registration) => {
+            ToEdge::Score(registration, spec) if self.is_newest(number, registration) => {
                 let item = (spec.job, spec.item_id);
                 self.call(number, spec.attempt, item, spec.call);
             }
@@ -450,12 +450,12 @@
         let calls = edge.calling.len();
         edge.calling.retain(|one| !is_own || one.attempt != attempt);
         if edge.calling.len() < calls {
-            self.tell_scored(number, attempt, ScoringEnd::Unanswered);
+            self.report_scored(number, attempt, ScoringEnd::Unanswered);
         }
     }
 
     /// Whether an order is of a leader that goes by an edge's newest registration of its runs.
-    fn goes_by(&self, number: usize, registration: u64) -> bool {
+    fn is_newest(&self, number: usize, registration: u64) -> bool {
         let ignores = self.mutation == Some(Mutation::TellingIgnored);
         ignores || registration == self.edges[number].registration
     }
@@ -606,7 +606,7 @@
         }
     }
 
-    /// Edges give up on replicas that never say a word.
+    /// Edges give up runs at replicas that send no event.
     fn give_up_silent(&mut self) {
         for number in 0..self.edges.len() {
             if self.edges[number].stands.is_some() {
@@ -621,7 +621,7 @@
         }
     }
 
-    /// Ended jobs run nowhere that can be reached.
+    /// Ended jobs run at no edge that can be reached.
     fn check_ended(&self) {
         let reached = |edge: &&Edge| edge.linked && edge.stands.is_none();
         for edge in self.edges.iter().filter(reached) {
--- a/crates/dispatch/tests/parts.rs
+++ b/crates/dispatch/tests/parts.rs
@@ -93,8 +93,7 @@
     assert_eq!(versions, [1]);
 }
 
-/// Seen on agac-visor scale-1: after all processes ended, texts of 90 events were
-/// made again from the first.
+/// After all processes ended, texts are not made again from their first event.
 #[rstest]
 fn a_new_leader_goes_on_after_what_is_kept() {
     let (mut before, attempt) = running();
@@ -107,9 +106,9 @@
     assert_eq!(run.events, events(1..=90));
 }
 
-/// The run that an edge holds may not go on from what is kept.
+/// The run that an edge has may not go on from what is kept.
 #[rstest]
-fn a_run_taken_over_counts_as_kept_as_far_as_it_is_the_same() {
+fn a_run_taken_over_counts_as_kept_as_far_as_it_equals_the_parts() {
     let (mut before, attempt) = running();
     progress(&mut before, attempt, events(1..=12));
     keep(&mut before);
@@ -133,7 +132,7 @@
 }
 
 #[rstest]
-fn a_later_job_goes_on_after_what_an_earlier_leader_saw_made() {
+fn a_later_job_goes_on_after_parts_of_an_earlier_leader() {
     let (mut before, attempt) = running();
     progress(&mut before, attempt, events(1..=12));
     keep(&mut before);
--- a/crates/dispatch/tests/residency.rs
+++ b/crates/dispatch/tests/residency.rs
@@ -75,7 +75,7 @@
 }
 
 #[rstest]
-fn nothing_runs_where_no_edge_stands_inside() {
+fn nothing_runs_without_an_edge_inside() {
     let mut view = view_of(4);
     bind(&mut view, &["north"]);
     let mut fixture = Fixture::new(view, OrderLeases::default());
@@ -85,8 +85,8 @@
     assert_eq!(runs(&edge(&mut fixture, "edge-north", "north")).len(), 4);
 }
 
-/// A configuration that narrows the regions: runs outside end and go on inside after their
-/// last event.
+/// A configuration that narrows the regions: runs outside are cancelled and go on inside
+/// after their last event.
 #[rstest]
 fn runs_outside_go_on_inside_when_regions_narrow() {
     let mut view = view_of(2);
@@ -124,7 +124,7 @@
     }
 }
 
-/// The body of a scoring call is with the item: an edge must stand where both may be.
+/// The body of a scoring call is with the item: an edge must be where both may be.
 #[rstest]
 fn the_route_of_a_scoring_call_binds_edges_and_the_log() {
     let mut view = view_of(2);
@@ -235,7 +235,7 @@
     assert!(!holds_bound(&view, &JobTable::default()));
 }
 
-/// A scoring call's route binds its job's bodies, so that the log must stand where it may be;
+/// A scoring call's route binds its job's bodies, so that the log must be where it may be;
 /// routes of jobs and tenants go before it.
 #[rstest]
 #[case::alone(None, &["south"], &["south"])]
--- a/crates/dispatch/tests/runs.rs
+++ b/crates/dispatch/tests/runs.rs
@@ -153,7 +153,7 @@
 /// Routes whose texts must be of one version: what was made goes on only at a replica of that
 /// version; else it is made again.
 #[rstest]
-fn a_text_of_a_single_version_is_never_mixed() {
+fn a_sample_of_a_single_version_is_never_mixed() {
     let mut fleet = view(2, 1);
     let configuration = fleet.configuration.as_mut().expect("there");
     Arc::make_mut(configuration).routes[0].single_version = true;
--- a/crates/dispatch/tests/scoring.rs
+++ b/crates/dispatch/tests/scoring.rs
@@ -153,7 +153,7 @@
 #[rstest]
 #[case::lost(true)]
 #[case::silent(false)]
-fn an_edge_that_never_tells_a_score_is_replaced(#[case] is_lost: bool) {
+fn an_edge_that_never_reports_a_score_is_replaced(#[case] is_lost: bool) {
     let mut fixture = fixture();
     fixture.edge("edge-1");
     let run = runs(&fixture.accept(scored_submission("job", 1))).remove(0);
@@ -167,14 +167,14 @@
     };
     let orders = ordered(&actions);
     assert_eq!((orders.len(), runs(&actions).len()), (1, 0));
-    // Its own score may still come: only the one expected is listed.
+    // Its own score may still come: only that of the edge ordered last is listed.
     let late = scored(&mut fixture, "edge-1", run.attempt, good());
     assert_eq!(listed_scores(&late), [""; 0]);
     let actions = scored(&mut fixture, &orders[0].0, orders[0].1.attempt, good());
     assert_eq!(listed_scores(&actions), ["good"]);
 }
 
-/// Time passes as a leader's does: a tick each 100 ms. All orders to score meanwhile.
+/// Lets time pass with a tick each 100 ms; returns all orders to score.
 fn pass(fixture: &mut Fixture, ms: u64) -> Vec<(String, ScoringSpec)> {
     let mut orders = Vec::new();
     for _ in 0..ms / 100 {
@@ -185,7 +185,7 @@
 }
 
 /// Another edge is ordered only once the time that the call's route allows is over: work
-/// that takes longer than some shorter time would be begun anew for ever.
+/// that takes longer than some shorter time would be begun again for ever.
 #[rstest]
 #[case::short(800)]
 #[case::long(3_000)]
@@ -206,11 +206,11 @@
     assert_eq!(pass(&mut fixture, 100).len(), 1);
 }
 
-/// What ran out of its time is not ordered the same way again: the edge is told.
+/// The edge that is ordered next learns that calls before timed out.
 #[rstest]
 #[case::told(true)]
 #[case::silent(false)]
-fn an_order_tells_that_earlier_calls_ran_out_of_time(#[case] is_told: bool) {
+fn an_order_names_how_many_earlier_calls_timed_out(#[case] is_told: bool) {
     let mut fixture = fixture_with_route(3_000);
     fixture.edge("edge-1");
     let run = runs(&fixture.accept(scored_submission("job", 1))).remove(0);
@@ -224,9 +224,9 @@
     assert_eq!(ran_out, [1]);
 }
 
-/// A call that an edge hands back, or that finds no replica, has told nothing of its length.
+/// A call that an edge hands back, or that finds no replica, shows nothing of how long it takes.
 #[rstest]
-fn a_call_that_is_handed_back_early_did_not_run_out_of_time() {
+fn a_call_that_is_handed_back_early_did_not_time_out() {
     let mut fixture = fixture_with_route(3_000);
     fixture.edge("edge-1");
     let run = runs(&fixture.accept(scored_submission("job", 1))).remove(0);
@@ -322,9 +322,9 @@
     assert_eq!(lists(&fixture.handle(Event::Tick)), [Outcome::Terminated]);
 }
 
-/// What an edge's old link delivers late, after its new link told that a text is whole, tells of
-/// a run that is known: its scoring goes on, and it is not told to forget a text that the log
-/// may not hold yet.
+/// An old link may deliver progress late, after the new link reported that the text is whole. The run
+/// is known: its scoring goes on, and the edge is not sent to forget a text that the log may not
+/// have yet.
 #[rstest]
 #[case::being_scored(true)]
 #[case::being_listed(false)]
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -22,7 +22,7 @@
 }
 
 #[rstest]
-fn a_new_leader_takes_over_runs_that_edges_have() {
+fn a_new_leader_takes_over_runs_that_edges_hold() {
     let mut before = Fixture::new(view(1, 4), OrderLeases::default());
     before.edge("edge-1");
     let actions = before.accept(submission("job", &[1, 2], 0));
@@ -109,7 +109,7 @@
 
 /// The cancellation may be lost with the link. Found by fuzzing.
 #[rstest]
-fn a_run_of_an_ended_job_at_an_edge_that_returns_frees_its_place() {
+fn a_run_of_an_ended_job_told_by_an_edge_that_returns_frees_its_place() {
     let mut fixture = Fixture::new(view(1, 1), OrderLeases::default());
     fixture.edge("edge-1");
     let actions = fixture.accept(submission("first", &[1], 0));
--- a/crates/dispatch/tests/warming.rs
+++ b/crates/dispatch/tests/warming.rs
@@ -1,4 +1,4 @@
-//! Replicas that warm up: what the leader lets go there, and when.
+//! Replicas that warm up: what the leader grants, and when.
 
 mod fixture;
 mod support;
@@ -16,9 +16,9 @@
 const SLOTS: u32 = 100;
 /// How far an edge's clock is ahead of the leader's, in ms.
 const AHEAD: u64 = 40_000;
-/// Time for which a budget is kept to after the replica is warm, in ms.
+/// Time for which a budget applies after the replica is warm, in ms.
 const KNOWN_EVERYWHERE: u64 = 500;
-/// A span of a budget: a second, and the time for which a grant is good.
+/// A span of a budget: a second, and the time in which a granted request may be sent.
 const SPAN: u64 = 1_000 + PERMIT_MS;
 
 fn bounded(replicas: usize) -> FleetView {
@@ -42,14 +42,14 @@
 fn leader() -> Fixture {
     let mut fixture = Fixture::new(bounded(0), OrderLeases::default());
     fixture.edge("edge");
-    fixture.tell_clock("edge", AHEAD);
+    fixture.report_clock("edge", AHEAD);
     fixture.advance(5_000);
     fixture.handle(Event::Tick);
-    fixture.tell_clock("edge", AHEAD);
+    fixture.report_clock("edge", AHEAD);
     fixture
 }
 
-/// Lets ms pass; what was run, and when.
+/// Lets time pass; returns what was run, and when.
 fn pass(fixture: &mut Fixture, ms: u64) -> Vec<(u64, RunSpec)> {
     let mut started = Vec::new();
     for _ in 0..ms / 5 {
@@ -72,7 +72,7 @@
 }
 
 #[rstest]
-fn a_replica_that_came_new_is_given_what_it_bears_and_no_more() {
+fn a_new_replica_is_sent_as_much_as_it_bears_and_no_more() {
     let mut fixture = leader();
     fixture.set_replica(warming(0, 3_000));
     let first = runs(&fixture.accept(submission("job", &[10; 90], 1)));
@@ -87,18 +87,18 @@
         "{}",
         started.len()
     );
-    let leave = started
+    let limits = started
         .iter()
         .map(|(at, run)| (run.send_by, at + AHEAD + PERMIT_MS));
     assert!(
-        leave
+        limits
             .into_iter()
-            .all(|(leave, expected)| leave == Some(expected))
+            .all(|(limit, expected)| limit == Some(expected))
     );
 }
 
 #[rstest]
-fn it_is_given_all_once_it_is_warm_everywhere() {
+fn a_budget_ends_once_the_replica_is_warm_everywhere() {
     let mut fixture = leader();
     fixture.set_replica(warming(0, 1_000));
     fixture.accept(submission("job", &[10; 90], 1));
@@ -109,34 +109,34 @@
 }
 
 #[rstest]
-fn a_new_leader_counts_what_went_before_as_spent() {
+fn a_new_leader_counts_all_budgets_as_spent() {
     let mut view = bounded(1);
     Arc::make_mut(&mut view.replicas).insert("replica-0".to_string(), warming(0, 5_000));
     let mut fixture = Fixture::new(view, OrderLeases::default());
     fixture.edge("edge");
-    fixture.tell_clock("edge", AHEAD);
+    fixture.report_clock("edge", AHEAD);
     fixture.accept(submission("job", &[10; 90], 1));
     assert!(pass(&mut fixture, LEADERS_OVERLAP + SPAN - 5).is_empty());
     assert_eq!(pass(&mut fixture, 10).len(), PER_SECOND);
 }
 
 #[rstest]
-fn what_went_before_it_surely_led_counts_as_spent() {
+fn a_leader_counts_budgets_as_spent_until_it_is_confirmed() {
     let mut fixture = Fixture::new(bounded(0), OrderLeases::default());
-    fixture.is_confirmed_leader(false);
+    fixture.set_confirmed_leader(false);
     fixture.edge("edge");
-    fixture.tell_clock("edge", AHEAD);
+    fixture.report_clock("edge", AHEAD);
     fixture.accept(submission("job", &[10; 90], 1));
     fixture.set_replica(warming(0, 9_000));
     assert!(pass(&mut fixture, 3_000).is_empty(), "it may not lead");
-    fixture.is_confirmed_leader(true);
+    fixture.set_confirmed_leader(true);
     let unknown = LEADERS_OVERLAP + SPAN;
     assert!(
         pass(&mut fixture, unknown).is_empty(),
         "another led until now"
     );
     assert_eq!(pass(&mut fixture, 10).len(), PER_SECOND);
-    fixture.is_confirmed_leader(false);
+    fixture.set_confirmed_leader(false);
     assert!(
         pass(&mut fixture, 2_000).is_empty(),
         "it may not lead again"
@@ -156,7 +156,7 @@
 }
 
 #[rstest]
-fn an_entry_that_comes_back_brings_nothing() {
+fn a_budget_stays_while_its_entry_is_gone() {
     let mut fixture = leader();
     fixture.set_replica(warming(0, 3_000));
     let started = runs(&fixture.accept(submission("job", &[10; 90], 1)));
@@ -188,13 +188,16 @@
 #[case(RunEnd::Failed, false)]
 #[case(RunEnd::Cancelled, false)]
 #[case(RunEnd::NotRun { other_replica: false }, false)]
-fn only_what_never_reached_it_is_given_back(#[case] end: RunEnd, #[case] is_given_back: bool) {
+fn only_grants_of_requests_that_never_reached_the_replica_are_given_back(
+    #[case] end: RunEnd,
+    #[case] is_given_back: bool,
+) {
     let mut fixture = leader();
     fixture.set_replica(warming(0, 5_000));
     let started = runs(&fixture.accept(submission("job", &[10; 90], 1)));
     assert_eq!(started.len(), PER_SECOND);
     let mut again = runs(&ended(&mut fixture, &started[0], end)).len();
-    // A replica that failed is let alone for a while.
+    // A replica with a fault is paused.
     again += pass(&mut fixture, 500).len();
     assert_eq!(again, usize::from(is_given_back));
 }
@@ -207,12 +210,12 @@
     fixture.set_replica(warming(0, 3_000));
     assert!(runs(&fixture.accept(submission("job", &[10; 90], 1))).is_empty());
     assert!(pass(&mut fixture, 500).is_empty());
-    fixture.tell_clock("edge", AHEAD);
+    fixture.report_clock("edge", AHEAD);
     assert_eq!(pass(&mut fixture, 10).len(), PER_SECOND);
 }
 
 #[rstest]
-fn an_edge_that_knows_better_is_not_asked_again_at_once() {
+fn an_item_that_an_edge_did_not_send_is_not_ordered_again_at_once() {
     let mut fixture = leader();
     fixture.set_replica(replica(0, SLOTS));
     let started = runs(&fixture.accept(submission("job", &[10], 1)));
@@ -265,9 +268,9 @@
     assert_eq!(fixture.dispatcher().grant(&ask, now), None);
 }
 
-/// An edge that has just started takes it for one that warms up.
+/// An edge that has just started knows the replica as one that warms up.
 #[rstest]
-fn a_warm_replica_is_granted_without_end() {
+fn a_warm_replica_is_granted_without_a_budget() {
     let mut fixture = leader();
     fixture.set_replica(warming(0, 1_000));
     fixture.advance(1_000 + KNOWN_EVERYWHERE);
@@ -305,7 +308,7 @@
 }
 
 #[rstest]
-fn budgets_that_open_are_waited_for_while_items_wait() {
+fn the_next_opening_is_known_while_items_wait() {
     let mut fixture = leader();
     fixture.set_replica(warming(0, 5_000));
     assert_eq!(fixture.dispatcher().next_opening(), None, "nothing waits");
@@ -321,7 +324,7 @@
 
 /// A budget that has opened wakes the process once, also where no edge takes the items.
 #[rstest]
-fn an_opening_is_noted_once() {
+fn an_opening_wakes_the_process_once() {
     let mut fixture = leader().next_leader();
     fixture.accept(submission("job", &[10; 90], 1));
     fixture.set_replica(warming(0, 9_000));
@@ -332,7 +335,7 @@
     assert!(!fixture.dispatcher().is_opening_due(opens_at));
 }
 
-/// Runs one item, tells its pace, and ends its job.
+/// Runs one item, reports its pace, and ends its job.
 fn run_at_pace(fixture: &mut Fixture, job: &str, replica: &str, event_ms: u32) {
     let started = runs(&fixture.accept(submission(job, &[10], 1)));
     assert_eq!(started[0].replica, replica);
@@ -350,11 +353,11 @@
     ended(fixture, &started[0], RunEnd::Cancelled);
 }
 
-/// The pace of a replica that warms up is not held against it later.
+/// A replica is not slow later because of its paces while it warms up.
 #[rstest]
 #[case(3_000, true)]
 #[case(0, false)]
-fn its_pace_is_not_taken_while_it_warms_up(#[case] warming_ms: u64, #[case] is_given: bool) {
+fn paces_of_a_replica_that_warms_up_do_not_count(#[case] warming_ms: u64, #[case] is_given: bool) {
     let mut fixture = leader();
     fixture.set_replica(warming(0, warming_ms));
     run_at_pace(&mut fixture, "slow", "replica-0", 500);
@@ -372,7 +375,7 @@
     assert_eq!(is_shared, is_given);
 }
 
-/// It does not know which services name a bound: an edge that does is granted nothing.
+/// It does not know which services have a bound: an edge that does is granted nothing.
 #[rstest]
 fn a_leader_without_a_configuration_grants_nothing() {
     let mut view = bounded(1);
@@ -391,14 +394,11 @@
     assert_eq!(fixture.dispatcher().grant(&ask, now), None);
 }
 
-/// The edge is told whether its request counts: it may know of the warming up before the leader.
+/// The permit shows whether its request counts: the edge may know of the warm-up before the leader.
 #[rstest]
 #[case(5_000, false)]
 #[case(0, true)]
-fn a_permit_tells_whether_the_replica_is_taken_for_warm(
-    #[case] warming_ms: u64,
-    #[case] is_warm: bool,
-) {
+fn a_permit_for_a_warm_replica_has_no_end(#[case] warming_ms: u64, #[case] is_warm: bool) {
     let mut fixture = leader();
     fixture.set_replica(warming(0, warming_ms));
     let now = fixture.now();
@@ -412,12 +412,12 @@
     assert_eq!(permit.send_by == u64::MAX, is_warm);
 }
 
-/// The leader before this one may go on granting, also where this one took it for warm.
+/// The leader before this one may go on granting, also where this one knew the replica as warm.
 #[rstest]
-fn what_another_leader_sent_counts_where_a_replica_was_warm() {
+fn a_budget_begins_as_spent_where_the_replica_was_warm() {
     let mut fixture = Fixture::new(bounded(1), OrderLeases::default());
     fixture.edge("edge");
-    fixture.tell_clock("edge", AHEAD);
+    fixture.report_clock("edge", AHEAD);
     fixture.advance(10);
     fixture.set_replica(warming(0, 5_000));
     fixture.accept(submission("job", &[10; 90], 1));
@@ -426,12 +426,12 @@
 }
 
 #[rstest]
-fn what_another_leader_sent_counts_where_replicas_bear_more() {
+fn a_budget_counts_as_spent_where_the_rate_rises() {
     let mut view = bounded(1);
     Arc::make_mut(&mut view.replicas).insert("replica-0".to_string(), warming(0, 5_000));
     let mut fixture = Fixture::new(view.clone(), OrderLeases::default());
     fixture.edge("edge");
-    fixture.tell_clock("edge", AHEAD);
+    fixture.report_clock("edge", AHEAD);
     fixture.accept(submission("job", &[10; 90], 1));
     fixture.advance(10);
     let configuration = Arc::make_mut(view.configuration.as_mut().expect("one"));
--- a/crates/dispatch/tests/withheld.rs
+++ b/crates/dispatch/tests/withheld.rs
@@ -1,4 +1,4 @@
-//! Items whose content ends replicas: run a few times more, and nobody else's matter.
+//! Items whose content ends replicas are run a few times more; other items are not affected.
 
 mod fixture;
 mod support;
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use support::{submission, view};
 
-/// Time between two looks, in ms.
+/// Time between two ticks, in ms.
 const LOOK: u64 = 100;
 
 /// A leader with a job of two items, of which the first ends replicas.
@@ -24,7 +24,7 @@
 }
 
 impl Ending {
-    /// Also gives the run of that item.
+    /// Also returns the run of that item.
     fn new() -> (Self, AttemptId) {
         let mut fixture = Fixture::new(view(12, 1), OrderLeases::default());
         fixture.edge("edge-1");
@@ -41,7 +41,7 @@
         (ending, started.expect("started").attempt)
     }
 
-    /// A replica ended under the first item; what is started then.
+    /// A replica ended under the first item; returns what is started then.
     fn end(&mut self, attempt: AttemptId) -> Vec<Action> {
         self.ends += 1;
         let replica = Arc::from(format!("life-{}", self.ends));
@@ -75,7 +75,7 @@
 }
 
 #[rstest]
-fn an_item_of_a_held_content_is_run_three_times_more() {
+fn an_item_of_a_quarantined_content_is_run_three_times_more() {
     let (mut ending, mut attempt) = Ending::new();
     let mut more = 0;
     for _ in 0..20 {
--- a/crates/fleet/tests/delta.rs
+++ b/crates/fleet/tests/delta.rs
@@ -89,7 +89,7 @@
 
 proptest! {
     #[test]
-    fn an_edge_ahead_of_a_new_leader_follows_it_without_a_whole_view(
+    fn who_knows_more_than_a_new_leader_follows_it_without_a_whole_view(
         changes in proptest::collection::vec((0_u64..5, any::<bool>()), 1..20),
         points in (0_usize..20, 0_usize..20, 0_usize..20),
     ) {
@@ -226,7 +226,7 @@
 /// Begun, ended and begun again: a process that knows the middle stays with it unless the newest
 /// revision is in the difference, though the zones are those of the difference before.
 #[rstest]
-fn an_evacuation_that_was_undone_in_between_is_corrected() {
+fn a_change_that_was_taken_back_in_between_is_healed() {
     let told = evacuated(&["a"], 4);
     let mut saw_the_middle = evacuated(&[], 5);
     let delta = evacuated(&["a"], 6).delta_from(&told);
--- a/crates/fleet/tests/split.rs
+++ b/crates/fleet/tests/split.rs
@@ -31,7 +31,7 @@
 
 proptest! {
     #[test]
-    fn shares_are_near_their_weights_in_any_sequence(
+    fn shares_are_near_their_weights_over_any_run(
         weights in proptest::collection::vec(1_u32..100_000, 2..5),
         first in any::<u64>(),
     ) {
--- a/crates/jobs/tests/away.rs
+++ b/crates/jobs/tests/away.rs
@@ -77,7 +77,7 @@
 #[case::from_the_middle(5, 12_000)]
 #[case::what_stayed(9, usize::MAX)]
 #[case::past_the_end(40, 100)]
-fn pages_are_the_same_from_table_and_disk(#[case] since: u64, #[case] limit: usize) {
+fn pages_are_the_same(#[case] since: u64, #[case] limit: usize) {
     let mut table = JobTable::default();
     play(&mut table, "job", 12, 10);
     let before = table.page("job", since, limit).expect("job");
