--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -71,7 +71,7 @@
 
     fn learn_of_replica(&mut self, run: &Run, end: RunEnd, now: Millis) {
         let replica = &run.replica;
-        let job = self.jobs.jobs.get(&run.job);
+        let job = self.jobs.get(&run.job);
         if let Some(job) = job.filter(|_| end == RunEnd::TooOld) {
             self.replicas
                 .forget_version(replica, &job.model, job.min_version);
@@ -92,7 +92,7 @@
         end: RunEnd,
         now: Millis,
     ) {
-        let Some(job) = self.jobs.jobs.get_mut(&run.job) else {
+        let Some(job) = self.jobs.get_mut(&run.job) else {
             self.jobs.texts.keep_partial(run.item_id, run.events);
             self.recorded(machine, attempt);
             return;
@@ -147,10 +147,9 @@
         let Some(run) = self.remove_run(attempt) else {
             return;
         };
-        let Some(job) = self.jobs.jobs.get_mut(&run.job) else {
+        let Some(item) = self.jobs.item_mut(&run.job, run.item) else {
             return;
         };
-        let item = &mut job.items[run.item as usize];
         if item.state == State::Running(attempt) {
             item.events = run.events;
             item.kept = run.kept;
@@ -177,8 +176,7 @@
     /// The log did not list an item, as its text did not follow the parts that the log keeps:
     /// the text is made from the first event.
     fn restart_item(&mut self, job: &str, item: u32) {
-        let run = self.jobs.jobs.get_mut(job);
-        let Some(item_run) = run.and_then(|run| run.items.get_mut(item as usize)) else {
+        let Some(item_run) = self.jobs.item_mut(job, item) else {
             return;
         };
         if let State::Ending(reporter) = item_run.state.clone() {
@@ -216,7 +214,7 @@
         for (id, item) in self.jobs.overdue(now) {
             self.jobs.take_waiting(&id, item);
             self.stop_scoring(&id, item);
-            if let Some(job) = self.jobs.jobs.get_mut(&id) {
+            if let Some(job) = self.jobs.get_mut(&id) {
                 job.withheld.remove(&item);
                 log::info!(
                     "event=item_given_up job={id} item={} waited_ms={}",
--- a/crates/dispatch/src/jobs.rs
+++ b/crates/dispatch/src/jobs.rs
@@ -133,9 +133,9 @@
 /// All jobs under way.
 #[derive(Debug, Default)]
 pub(crate) struct JobRuns {
-    pub jobs: BTreeMap<String, JobRun>,
-    /// Jobs by age, so that the oldest is served first.
-    pub order: Vec<String>,
+    jobs: BTreeMap<String, JobRun>,
+    /// Ids by age, so that the oldest job is served first.
+    order: Vec<String>,
     /// Items whose texts wait for an order to score them, and from when it may be
     /// given.
     unscored: BTreeMap<(String, u32), Millis>,
@@ -144,6 +144,41 @@
 }
 
 impl JobRuns {
+    /// A job under way.
+    pub fn get(&self, id: &str) -> Option<&JobRun> {
+        self.jobs.get(id)
+    }
+
+    /// A job under way, to be changed.
+    pub fn get_mut(&mut self, id: &str) -> Option<&mut JobRun> {
+        self.jobs.get_mut(id)
+    }
+
+    /// Whether a job is under way.
+    pub fn contains(&self, id: &str) -> bool {
+        self.jobs.contains_key(id)
+    }
+
+    /// All jobs under way, by id.
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &JobRun)> {
+        self.jobs.iter()
+    }
+
+    /// The route of a job; none where it leads nowhere or the job is not under way.
+    pub fn route(&self, id: &str) -> Option<&JobRoute> {
+        self.jobs.get(id)?.route.as_ref()
+    }
+
+    /// An item of a job under way.
+    pub fn item(&self, id: &str, item: u32) -> Option<&ItemRun> {
+        self.jobs.get(id)?.items.get(item as usize)
+    }
+
+    /// An item of a job under way, to be changed.
+    pub fn item_mut(&mut self, id: &str, item: u32) -> Option<&mut ItemRun> {
+        self.jobs.get_mut(id)?.items.get_mut(item as usize)
+    }
+
     /// Opens a job; returns what the log is to keep of items whose text an earlier job
     /// brought.
     pub fn open(
@@ -242,8 +277,7 @@
 
     /// A text waits for an order to score it, given at `from` or later.
     pub fn wait_for_score(&mut self, job: &str, item: u32, from: Millis) {
-        let run = self.jobs.get_mut(job);
-        if let Some(item_run) = run.and_then(|run| run.items.get_mut(item as usize)) {
+        if let Some(item_run) = self.item_mut(job, item) {
             item_run.state = State::Scoring(None);
             self.unscored.insert((job.to_string(), item), from);
         }
--- a/crates/dispatch/src/load_plan.rs
+++ b/crates/dispatch/src/load_plan.rs
@@ -37,7 +37,7 @@
     target: u64,
     /// The oldest version that serves every job under way.
     oldest_fit: u64,
-    /// Replicas that are to load the newest though they still serve.
+    /// Replicas that are to load the newest though they serve every job; none while items wait.
     optional_loads: usize,
     /// Items that wait, less the free slots of replicas that serve them now or after the load
     /// that is under way.
@@ -63,6 +63,19 @@
     }
 }
 
+/// The oldest version that serves every job under way: the one before the newest, or the newest
+/// where a job allows nothing older. `newest_asked`: the newest of the oldest versions that jobs
+/// allow.
+fn oldest_fit(newest: u64, newest_asked: u64) -> u64 {
+    newest_asked.max(newest.saturating_sub(1)).min(newest)
+}
+
+/// Whether a replica that serves `version` (0: none) is to load the newest: it is older than that
+/// and serves not every job, or more replicas of its model are to load the newest all the same.
+fn is_load_due(version: u64, newest: u64, oldest_fit: u64, optional_loads: usize) -> bool {
+    version < newest && (version < oldest_fit || optional_loads > 0)
+}
+
 impl Dispatcher {
     /// Begins loads that are due and asks replicas that load for their state. Where zones may be
     /// evacuated nothing begins before it is known which are.
@@ -137,7 +150,7 @@
             let need = &needs[number];
             let version = replica.version_of(first);
             let is_fit = version >= need.oldest_fit;
-            let is_due = version < need.target && (need.optional_loads > 0 || !is_fit);
+            let is_due = is_load_due(version, need.target, need.oldest_fit, need.optional_loads);
             let runs = lasting.get(id).copied().unwrap_or(0);
             if is_due && self.orders.may_load(id, now) && self.may_pause_runs(id, runs, need) {
                 due[number].push(DueLoad {
@@ -162,7 +175,7 @@
         let needs = self.view.versions.iter().map(|(model, target)| ModelNeed {
             model,
             target: *target,
-            oldest_fit: self.oldest_fit(model, *target),
+            oldest_fit: oldest_fit(*target, self.jobs.newest_asked(model)),
             optional_loads: 0,
             shortage: self.jobs.waiting_of(model) as i64,
             free: 0,
@@ -207,7 +220,7 @@
         need: &mut ModelNeed<'_>,
         count: &mut Freshness,
     ) {
-        let free = replica.slots.saturating_sub(replica.running);
+        let free = replica.free_slots();
         let version = replica.version_of(need.model);
         let load = self.orders.loads.get(id);
         if load.is_some() || version >= need.oldest_fit {
@@ -232,14 +245,11 @@
             return true;
         }
         let own = self.replicas.by_id.get(id);
-        let own_free = own.map_or(0, |one| one.slots.saturating_sub(one.running));
+        let own_free = own.map_or(0, Replica::free_slots);
         need.free.saturating_sub(own_free) >= runs
     }
-
-    /// The oldest version that serves every job under way: the one before the newest, or the
-    /// newest where a job allows nothing older.
-    fn oldest_fit(&self, model: &str, target: u64) -> u64 {
-        let asked = self.jobs.newest_asked(model);
-        asked.max(target.saturating_sub(1)).min(target)
-    }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/load_plan.rs"]
+mod tests;
--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -147,8 +147,9 @@
             return;
         };
         let took = load.accepted_at.map(|accepted_at| now - accepted_at);
+        let model = load.model.clone();
         self.learn_from_load(id, took, now);
-        let model = self.end_load(id, version, now);
+        self.end_load(id, &model, version, now);
         // Where the order's answer was lost the time is not known: logged as 0.
         let took = took.unwrap_or(0);
         log::info!(
@@ -156,13 +157,11 @@
         );
     }
 
-    /// Ends a load: the replica serves a version. Returns the model.
-    fn end_load(&mut self, id: &str, version: u64, now: Millis) -> String {
-        let load = self.orders.loads.remove(id);
-        let model = load.map(|load| load.model).unwrap_or_default();
-        self.replicas.set_version(id, &model, version, now);
+    /// Ends a load: the replica serves a version of the model.
+    fn end_load(&mut self, id: &str, model: &str, version: u64, now: Millis) {
+        self.orders.loads.remove(id);
+        self.replicas.set_version(id, model, version, now);
         self.placement.freed(id);
-        model
     }
 
     /// Learns from the time of a load, where it is known and contains no time of runs.
@@ -203,8 +202,8 @@
                 *sequence += 1;
             }
             OrderAnswer::Holds => {
-                let version = load.version;
-                self.end_load(id, version, now);
+                let (model, version) = (load.model.clone(), load.version);
+                self.end_load(id, &model, version, now);
             }
             OrderAnswer::Unknown | OrderAnswer::Conflict => {
                 self.orders.sequences.remove(id);
--- a/crates/dispatch/src/loads.rs
+++ b/crates/dispatch/src/loads.rs
@@ -110,3 +110,7 @@
         self.was_slow = is_slow;
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/loads.rs"]
+mod tests;
--- a/crates/dispatch/src/moves.rs
+++ b/crates/dispatch/src/moves.rs
@@ -214,3 +214,7 @@
         !self.jobs.has_waiting(need.model) && places.take(&need, Some(own_ms))
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/moves.rs"]
+mod tests;
--- a/crates/dispatch/src/places.rs
+++ b/crates/dispatch/src/places.rs
@@ -35,8 +35,7 @@
         if replica.has_budget(now) && !self.warming.may_grant() {
             return 0;
         }
-        let places = replica.slots.saturating_sub(replica.running);
-        places.min(replica.budget_left(now))
+        replica.free_slots().min(replica.budget_left(now))
     }
 }
 
@@ -118,3 +117,7 @@
             .sum()
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/places.rs"]
+mod tests;
--- a/crates/dispatch/src/replicas.rs
+++ b/crates/dispatch/src/replicas.rs
@@ -250,6 +250,11 @@
         self.running as f64 / self.slots.max(1) as f64
     }
 
+    /// Slots that no run takes, whether or not it may be given one.
+    pub fn free_slots(&self) -> usize {
+        self.slots.saturating_sub(self.running)
+    }
+
     /// The version of a model that it serves; 0: none, older than any.
     pub fn version_of(&self, model: &str) -> u64 {
         self.standing.versions.get(model).copied().unwrap_or(0)
--- a/crates/dispatch/src/residency.rs
+++ b/crates/dispatch/src/residency.rs
@@ -99,8 +99,7 @@
     /// Whether a run's replica or edge is outside its regions; not where its job has no route,
     /// which binds it to none.
     fn is_outside(&self, run: &Run) -> bool {
-        let job = self.jobs.jobs.get(&run.job);
-        let Some(route) = job.and_then(|job| job.route.as_ref()) else {
+        let Some(route) = self.jobs.route(&run.job) else {
             return false;
         };
         let replica = self.replicas.by_id.get(&run.replica);
--- a/crates/dispatch/src/runs.rs
+++ b/crates/dispatch/src/runs.rs
@@ -215,7 +215,7 @@
         self.kept_at = now;
         for run in self.runs.by_id.values_mut() {
             let unkept = run.events.len().saturating_sub(run.kept);
-            let is_open = self.jobs.jobs.contains_key(&run.job);
+            let is_open = self.jobs.contains(&run.job);
             if run.cancelled || unkept < LEAST_PART_EVENTS || !is_open {
                 continue;
             }
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -97,7 +97,6 @@
         let draft = draft_of(&run.job, run.item, &run.events, run.kept);
         self.actions.push(Action::Keep(draft));
         self.jobs.texts.record(&run.job, run.item, &run.item_id);
-        self.set_state(&run.job, run.item, State::Scoring(Some(attempt)));
         let scoring = Scoring {
             machine: machine.to_string(),
             job: run.job,
@@ -105,6 +104,11 @@
             since: now,
             time: None,
         };
+        self.add_scoring(attempt, scoring);
+    }
+
+    fn add_scoring(&mut self, attempt: AttemptId, scoring: Scoring) {
+        self.set_state(&scoring.job, scoring.item, State::Scoring(Some(attempt)));
         self.scorings.by_id.insert(attempt, scoring);
     }
 
@@ -121,14 +125,7 @@
             self.recorded(machine, attempt);
             return;
         };
-        log::info!(
-            "event=scoring_ended job={} item={} attempt={attempt} edge={machine} end={} elapsed_ms={} time_ms={:?}",
-            scoring.job,
-            self.item_id(&scoring),
-            end.name(),
-            now - scoring.since,
-            scoring.time
-        );
+        self.log_scored(attempt, &scoring, machine, end.name(), now);
         let ending = State::Ending(Some((attempt, machine.to_string())));
         match end {
             ScoringEnd::Scored(score) => {
@@ -152,6 +149,24 @@
         }
     }
 
+    fn log_scored(
+        &self,
+        attempt: AttemptId,
+        scoring: &Scoring,
+        machine: &str,
+        end: &str,
+        now: Millis,
+    ) {
+        let item = self.jobs.item(&scoring.job, scoring.item);
+        log::info!(
+            "event=scoring_ended job={} item={} attempt={attempt} edge={machine} end={end} elapsed_ms={} time_ms={:?}",
+            scoring.job,
+            item.map_or("", |item| item.id.as_str()),
+            now - scoring.since,
+            scoring.time
+        );
+    }
+
     /// Orders edges to score the texts that no edge scores.
     pub(crate) fn start_scorings(&mut self, table: &JobTable, now: Millis) {
         if self.is_adopting(now) {
@@ -174,13 +189,13 @@
         let Some((stored, call)) = stored.and_then(|one| Some((one, one.scoring.as_ref()?))) else {
             return false;
         };
-        let job = self.jobs.jobs.get(id);
         // Without a route the job is bound to no region.
-        let route = job.and_then(|job| job.route.as_ref());
-        let (regions, bodies) = route.map_or_else(Default::default, |route| {
-            (route.regions.clone(), route.bodies.clone())
-        });
-        let timed_out_calls = job.map_or(0, |job| job.items[item as usize].timed_out_calls);
+        let (regions, bodies) = match self.jobs.route(id) {
+            Some(route) => (route.regions.clone(), route.bodies.clone()),
+            None => Default::default(),
+        };
+        let item_run = self.jobs.item(id, item);
+        let timed_out_calls = item_run.map_or(0, |item| item.timed_out_calls);
         let Some(machine) = self.choose_scoring_edge(&bodies, now) else {
             return false;
         };
@@ -199,7 +214,6 @@
             regions,
             ran_out: timed_out_calls,
         };
-        self.set_state(id, item, State::Scoring(Some(attempt)));
         let scoring = Scoring {
             machine: machine.clone(),
             job: id.to_string(),
@@ -207,7 +221,7 @@
             since: now,
             time: Some(time),
         };
-        self.scorings.by_id.insert(attempt, scoring);
+        self.add_scoring(attempt, scoring);
         self.actions.push(Action::Score {
             machine,
             spec: Box::new(spec),
@@ -248,8 +262,7 @@
     /// where one is named.
     pub(crate) fn move_scorings_inside(&mut self, edge: Option<&str>, now: Millis) {
         let outside = self.scorings.ids_where(|one| {
-            let job = self.jobs.jobs.get(&one.job);
-            let route = job.and_then(|job| job.route.as_ref());
+            let route = self.jobs.route(&one.job);
             let is_meant = edge.is_none_or(|edge| edge == one.machine);
             is_meant && route.is_some_and(|route| !self.is_edge_inside(&one.machine, &route.bodies))
         });
@@ -263,8 +276,8 @@
         if !scoring.has_run_out(now) {
             return;
         }
-        if let Some(job) = self.jobs.jobs.get_mut(&scoring.job) {
-            job.items[scoring.item as usize].timed_out_calls += 1;
+        if let Some(item) = self.jobs.item_mut(&scoring.job, scoring.item) {
+            item.timed_out_calls += 1;
         }
     }
 
@@ -287,22 +300,17 @@
 
     /// Has nobody score an item's text any more.
     pub(crate) fn stop_scoring(&mut self, job: &str, item: u32) {
-        let state = self.jobs.jobs.get(job).map(|job| &job.items[item as usize]);
-        if let Some(State::Scoring(Some(attempt))) = state.map(|item| &item.state) {
+        let item = self.jobs.item(job, item);
+        if let Some(State::Scoring(Some(attempt))) = item.map(|item| &item.state) {
             self.forget_scoring(*attempt);
         }
     }
 
     fn set_state(&mut self, job: &str, item: u32, state: State) {
-        if let Some(job) = self.jobs.jobs.get_mut(job) {
-            job.items[item as usize].state = state;
+        if let Some(item) = self.jobs.item_mut(job, item) {
+            item.state = state;
         }
     }
-
-    fn item_id(&self, scoring: &Scoring) -> &str {
-        let job = self.jobs.jobs.get(&scoring.job);
-        job.map_or("", |job| job.items[scoring.item as usize].id.as_str())
-    }
 }
 
 /// The call that scores an item's text.
--- a/crates/dispatch/src/starting.rs
+++ b/crates/dispatch/src/starting.rs
@@ -80,8 +80,8 @@
     /// Chooses the replica and the edge for an item; none: it waits. Where one version must make
     /// the whole text and no replica of it takes the item, the text is made again.
     fn assign(&mut self, id: &str, item: u32, now: Millis) -> Option<Assignment> {
-        let job = self.jobs.jobs.get(id)?;
-        let need = self.jobs.need(id, item, &job.items[item as usize].events)?;
+        let events = &self.jobs.item(id, item)?.events;
+        let need = self.jobs.need(id, item, events)?;
         let availability = Availability {
             replicas: &self.replicas,
             orders: &self.orders,
@@ -97,7 +97,7 @@
             chosen = self.placement.choose(&any_version, availability);
         }
         let replica = chosen?;
-        let bodies = &job.route.as_ref()?.bodies;
+        let bodies = &self.jobs.route(id)?.bodies;
         let machine = self.choose_edge(&replica, bodies, now)?;
         Some(Assignment {
             item,
@@ -139,7 +139,7 @@
 
     /// Takes an item from those that wait, and its places at the replica and at the edge.
     fn take_item(&mut self, id: &str, to: &Assignment, now: Millis) -> Option<Begun> {
-        let job = self.jobs.jobs.get_mut(id)?;
+        let job = self.jobs.get_mut(id)?;
         let replica = self.replicas.by_id.get_mut(&to.replica)?;
         let attempt = self.runs.next_id(self.term);
         replica.running += 1;
@@ -174,7 +174,7 @@
         begun: &Begun,
         table: &JobTable,
     ) -> Option<RunSpec> {
-        let job = self.jobs.jobs.get(id)?;
+        let job = self.jobs.get(id)?;
         let stored_job = table.job(id)?;
         let stored = stored_job.items.get(to.item as usize)?;
         let replica = self.replicas.by_id.get(&to.replica)?;
@@ -207,7 +207,7 @@
         is_granted: bool,
         now: Millis,
     ) {
-        let job = self.jobs.jobs.get(&spec.job);
+        let job = self.jobs.get(&spec.job);
         let replica = self.replicas.by_id.get(&spec.replica);
         let (Some(job), Some(replica)) = (job, replica) else {
             return;
--- a/crates/dispatch/src/takeover.rs
+++ b/crates/dispatch/src/takeover.rs
@@ -71,8 +71,7 @@
     /// Does with a run that an edge has what [`adoption`] says.
     fn adopt(&mut self, machine: &str, report: RunReport, now: Millis) {
         let attempt = report.attempt;
-        let job = self.jobs.jobs.get(&report.job);
-        let item = job.and_then(|job| job.items.get(report.item as usize));
+        let item = self.jobs.item(&report.job, report.item);
         let is_whole = report.end == Some(RunEnd::Whole);
         match adoption(item.map(|item| &item.state), attempt, is_whole) {
             Adoption::Adopt { replaces } => {
@@ -102,8 +101,7 @@
         let attempt = report.attempt;
         let mut item_id = String::new();
         let mut kept = 0;
-        if let Some(job) = self.jobs.jobs.get_mut(&report.job) {
-            let item = &mut job.items[report.item as usize];
+        if let Some(item) = self.jobs.item_mut(&report.job, report.item) {
             item.state = State::Running(attempt);
             item_id = item.id.clone();
             // What the log keeps may be of an earlier run.
--- a/crates/dispatch/src/withheld.rs
+++ b/crates/dispatch/src/withheld.rs
@@ -42,7 +42,7 @@
         let Some(case) = case.filter(|case| case.is_quarantined()) else {
             return false;
         };
-        let Some(job) = self.jobs.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get_mut(id) else {
             return false;
         };
         let item_run = &mut job.items[item as usize];
@@ -65,7 +65,7 @@
     /// cleared, or after the pause while they have retries.
     pub(crate) fn retry_withheld(&mut self, table: &JobTable, now: Millis) {
         let mut retried = Vec::new();
-        for (id, job) in &self.jobs.jobs {
+        for (id, job) in self.jobs.iter() {
             for (item, from) in &job.withheld {
                 let content = item_content(id, *item, table);
                 let is_quarantined =
@@ -77,7 +77,7 @@
             }
         }
         for (id, item, is_quarantined) in retried {
-            if let Some(job) = self.jobs.jobs.get_mut(&id) {
+            if let Some(job) = self.jobs.get_mut(&id) {
                 job.withheld.remove(&item);
                 job.items[item as usize].is_quarantine_retry = is_quarantined;
                 self.jobs.wait(&id, item);
--- /dev/null
+++ b/crates/dispatch/tests/unit/load_plan.rs
@@ -0,0 +1,47 @@
+//! Which replicas are to load a new version.
+
+use super::{Freshness, is_load_due, oldest_fit};
+use rstest::rstest;
+
+#[rstest]
+#[case::the_version_before_the_newest(7, 0, 6)]
+#[case::a_job_that_allows_older_ones(7, 3, 6)]
+#[case::a_job_that_allows_only_the_newest(7, 7, 7)]
+#[case::a_job_that_asks_for_one_not_yet_known(7, 9, 7)]
+#[case::the_first_version(1, 0, 0)]
+fn the_oldest_version_that_serves_every_job_is(
+    #[case] newest: u64,
+    #[case] newest_asked: u64,
+    #[case] expected: u64,
+) {
+    assert_eq!(oldest_fit(newest, newest_asked), expected);
+}
+
+#[rstest]
+#[case::too_old_for_a_job(5, 0, true)]
+#[case::serves_no_version(0, 0, true)]
+#[case::serves_every_job(6, 0, false)]
+#[case::serves_every_job_but_more_are_wanted(6, 1, true)]
+#[case::has_the_newest(7, 1, false)]
+fn a_load_of_version_7_is_due(
+    #[case] version: u64,
+    #[case] optional_loads: usize,
+    #[case] expected: bool,
+) {
+    assert_eq!(is_load_due(version, 7, 6, optional_loads), expected);
+}
+
+#[rstest]
+#[case::none_has_it(8, 0, 4)]
+#[case::some_have_it(8, 3, 1)]
+#[case::half_have_it(8, 4, 0)]
+#[case::more_have_it(8, 6, 0)]
+#[case::an_odd_number(9, 0, 5)]
+#[case::no_replica(0, 0, 0)]
+fn half_of_the_replicas_are_to_have_the_newest(
+    #[case] replicas: usize,
+    #[case] fresh: usize,
+    #[case] missing: usize,
+) {
+    assert_eq!(Freshness { replicas, fresh }.missing(), missing);
+}
