--- a/crates/cluster/src/edge/attempts.rs
+++ b/crates/cluster/src/edge/attempts.rs
@@ -9,7 +9,7 @@
 //! | broken stream | [`attempt_timeout`]; silence: [`stream_stall_timeout`] | [`may_resume_stream`] | none |
 //! | scoring call | [`attempt_timeout`], longer after silence | [`scoring_has_failed`] says when not | [`SCORING_BACKOFF`] |
 //! | item's run | [`ITEM_HEAD_TIMEOUT`] until its answer begins | the leader decides | |
-//! | permit of a replica that warms up | | while [`ends_before`] holds | `warming::PERMIT_RETRY_PAUSE` |
+//! | permit of a replica that warms up | | while [`ends_before`] holds | `permits::PERMIT_RETRY_PAUSE` |
 
 use crate::clock::Moment;
 use std::time::Duration;
--- a/crates/cluster/src/edge/evacuation.rs
+++ b/crates/cluster/src/edge/evacuation.rs
@@ -44,7 +44,7 @@
         if view.evacuated_revision == 0 {
             return;
         }
-        if let Some(leader) = self.cluster.borrow().leader() {
+        if let Some(leader) = self.storage.borrow().contact.leader() {
             log::info!(
                 "event=evacuations_told zones={} revision={} term={}",
                 view.evacuated.len(),
--- a/crates/cluster/src/edge/front.rs
+++ b/crates/cluster/src/edge/front.rs
@@ -1,10 +1,10 @@
 //! What callers connect to.
 
 use super::answers::{Body, json, plain, uncertain};
-use super::asking::AskError;
 use super::forward::{Admitted, forward};
 use super::headers::{header_text, host_of};
 use super::process::Edge;
+use super::questions::AskError;
 use super::residency::RegionRefusal;
 use super::retry_after::Lack;
 use crate::clock::Moment;
@@ -260,7 +260,7 @@
                 self.name,
                 self.job,
                 elapsed.as_millis(),
-                edge.cluster.borrow().leader().is_some()
+                edge.storage.borrow().contact.leader().is_some()
             );
         }
     }
@@ -365,7 +365,7 @@
             edge.refuse_outside(id, admitted.route, RegionRefusal::Members),
         ),
         Err(AskError::NotAsked) => ("no_leader", edge.turn_away(Lack::Leader, 0)),
-        Ok(_) | Err(AskError::Unknown) => ("unknown", uncertain(StatusCode::GATEWAY_TIMEOUT)),
+        Ok(_) | Err(AskError::Uncertain) => ("unknown", uncertain(StatusCode::GATEWAY_TIMEOUT)),
     };
     let elapsed = arrived.elapsed();
     log::info!(
--- a/crates/cluster/src/edge/mod.rs
+++ b/crates/cluster/src/edge/mod.rs
@@ -1,12 +1,10 @@
 //! An edge: serves callers, forwards their requests, takes jobs, runs items.
 
 mod answers;
-mod asking;
 mod attempt;
 mod attempt_error;
 mod attempts;
 mod balance;
-mod cluster;
 mod ended;
 mod evacuation;
 mod event_buffer;
@@ -14,9 +12,14 @@
 mod front;
 mod headers;
 mod item_run;
+mod leader_contact;
+mod leader_messages;
+mod member_search;
 mod pace;
 mod passing;
+mod permits;
 mod process;
+mod questions;
 mod reader;
 mod ready;
 mod refusal;
@@ -25,9 +28,9 @@
 mod runs;
 mod scoring;
 mod starting;
+mod storage_links;
 mod stream;
 mod usage;
-mod warming;
 mod work_lease;
 
 pub use process::run;
--- a/crates/cluster/src/edge/warming.rs
+++ b/crates/cluster/src/edge/permits.rs
@@ -1,9 +1,13 @@
-//! Requests that only a replica that warms up may take: the leader grants each.
+//! Permits: requests that only a replica that warms up may take need one of the leader.
 //!
-//! A caller's request and a scoring call ask for leave when nothing warm takes them; runs
-//! of items bring theirs with them. One question at a time is under way for a service, so
-//! that the requests of an edge do not ask all at once for the few that there are.
+//! A caller's request and a scoring call ask for a permit when no warm replica takes them; an
+//! item's run brings its permit with the order. One question at a time is under way for a
+//! service, so that the requests of an edge do not ask all at once for the few permits that
+//! there are.
+//!
+//! Owns the turns of the questions. Relies on the balance for which replicas warm up.
 
+use super::attempts::ends_before;
 use super::forward::Forwarded;
 use super::process::Edge;
 use crate::clock::{Moment, within};
@@ -15,26 +19,28 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// Part of its route's objective for which a request waits for leave. A caller that is
-/// told early when to come back fares better than one that is held.
-const WAIT_SHARE: f64 = 0.25;
-/// A request waits so long at the least: time for a question and its answer on a busy edge.
-const LEAST_WAIT: Duration = Duration::from_millis(50);
-/// Time for an answer where a request may wait for a place at a warm replica as well.
-const RELIEF_WAIT: Duration = Duration::from_millis(20);
-/// Pause between two questions that found nothing left: budgets open one request at a time.
-const ASK_PAUSE: Duration = Duration::from_millis(20);
-/// Longest time that no leader is known before a request is refused, in ms: without one
-/// nothing is granted.
-const PATIENCE: u64 = 100;
+/// Longest wait for a permit, in objectives of the request's route. A caller that is told early
+/// when to come back fares better than one whose request is queued. Not measured.
+const PERMIT_WAIT_OBJECTIVES: f64 = 0.25;
+/// Shortest limit of that wait: time for a question and its answer on a busy edge. Not measured.
+const LEAST_PERMIT_WAIT: Duration = Duration::from_millis(50);
+/// Longest wait for a permit where a full warm replica may take the request as well. Not
+/// measured.
+const FULL_REPLICA_PERMIT_WAIT: Duration = Duration::from_millis(20);
+/// Pause between two questions while budgets are used up: they free one request at a time. Not
+/// measured.
+const PERMIT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Time without a leader after which a request for a permit is refused, in ms: only a leader
+/// grants one. Not measured.
+const PERMIT_LEADERLESS_LIMIT_MS: u64 = 100;
 
-/// Questions for leave: one at a time for a service.
+/// Turns of the questions for permits: one at a time for a service.
 #[derive(Default)]
-pub(super) struct Asking {
+pub(super) struct PermitTurns {
     by_service: HashMap<String, Rc<Mutex<()>>>,
 }
 
-impl Asking {
+impl PermitTurns {
     fn turn(&mut self, service: &str) -> Rc<Mutex<()>> {
         match self.by_service.get(service) {
             Some(turn) => Rc::clone(turn),
@@ -42,7 +48,7 @@
         }
     }
 
-    /// Forgets services that nobody asks for.
+    /// Forgets services for which no question is under way.
     pub fn forget_idle(&mut self) {
         self.by_service.retain(|_, turn| Rc::strong_count(turn) > 1);
     }
@@ -50,21 +56,21 @@
 
 impl Forwarded {
     /// The replica for the next attempt. Where only replicas that warm up may take it, waits
-    /// a while for the leader's leave.
+    /// a while for the leader's permit.
     ///
     /// # Errors
     /// Why none may be sent the request; none: no replica is known.
     pub(super) async fn choose(&self, tried: &[String]) -> Result<Clearance, Option<Unfit>> {
         match self.choose_known(tried, None) {
             Err(Some(Unfit::WarmingUp)) => self.choose_granted(tried).await,
-            Ok(chosen) => Ok(self.choose_beside(tried, chosen).await),
+            Ok(chosen) => Ok(self.choose_less_full(tried, chosen).await),
             chosen => chosen,
         }
     }
 
-    /// The warm replica that was chosen, or, where its places are taken, one that warms up
-    /// and bears another: one question, while no other is under way.
-    async fn choose_beside(&self, tried: &[String], chosen: Clearance) -> Clearance {
+    /// The warm replica that was chosen, or, where its slots are taken, one that warms up and
+    /// may take the request: one question, while no other is under way.
+    async fn choose_less_full(&self, tried: &[String], chosen: Clearance) -> Clearance {
         let is_needed = {
             let balance = self.edge.balance.borrow();
             balance.is_full(chosen.replica(), Moment::now()) && balance.has_warming(&self.work())
@@ -72,12 +78,13 @@
         if !is_needed {
             return chosen;
         }
-        let turn = self.edge.asking.borrow_mut().turn(self.service());
+        let turn = self.edge.permit_turns.borrow_mut().turn(self.service());
         let Ok(_turn) = turn.try_lock() else {
             return chosen;
         };
-        let until = Moment::now() + RELIEF_WAIT.min(self.left());
-        let asked = within(RELIEF_WAIT, self.ask_permit(tried, until)).await;
+        let until = Moment::now() + FULL_REPLICA_PERMIT_WAIT.min(self.left());
+        // Without an answer in time the warm replica takes the request.
+        let asked = within(FULL_REPLICA_PERMIT_WAIT, self.ask_permit(tried, until)).await;
         let permit = asked.ok().flatten();
         let granted = permit.and_then(|permit| self.choose_known(tried, Some(&permit)).ok());
         let outcome = if granted.is_some() {
@@ -90,9 +97,12 @@
     }
 
     async fn choose_granted(&self, tried: &[String]) -> Result<Clearance, Option<Unfit>> {
-        let wait = self.objective().mul_f64(WAIT_SHARE).max(LEAST_WAIT);
+        let wait = self
+            .objective()
+            .mul_f64(PERMIT_WAIT_OBJECTIVES)
+            .max(LEAST_PERMIT_WAIT);
         let until = Moment::now() + wait.min(self.left());
-        let turn = self.edge.asking.borrow_mut().turn(self.service());
+        let turn = self.edge.permit_turns.borrow_mut().turn(self.service());
         let asked = within(wait, async {
             // Those that came first ask first.
             let _turn = turn.lock().await;
@@ -117,10 +127,10 @@
             {
                 return Ok(clearance);
             }
-            if Moment::now() + ASK_PAUSE >= until {
+            if !ends_before(Moment::now(), PERMIT_RETRY_PAUSE, until) {
                 return Err(Some(Unfit::WarmingUp));
             }
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(PERMIT_RETRY_PAUSE).await;
             // One may be warm by now.
             match self.choose_known(tried, None) {
                 Err(Some(Unfit::WarmingUp)) => {}
@@ -136,10 +146,12 @@
             tried: tried.to_vec(),
             asked_at: self.edge.clock.now(),
         };
-        let asked = self.edge.ask(question, Duration::ZERO, until, PATIENCE);
+        let asked = self
+            .edge
+            .ask(question, Duration::ZERO, until, PERMIT_LEADERLESS_LIMIT_MS);
         match asked.await {
-            // A permit without an end is of a leader that takes the replica for warm. It holds
-            // only if that leader knew what this edge knows.
+            // A permit without an end is of a leader for which the replica is warm. It counts only
+            // if that leader knows what this edge knows.
             Ok(Answer::Permit(permit)) => permit
                 .filter(|permit| !permit.is_for_good() || self.edge.leader_knows(&permit.replica)),
             // No leader, or none that answers: the request waits, or is refused.
@@ -149,9 +161,9 @@
 }
 
 impl Edge {
-    /// Tells the leader what the clock shows by which runs must leave in time.
+    /// Sends the leader this edge's clock, by which permits of runs end.
     pub(super) fn send_clock(&self) {
-        if let Some(leader) = self.cluster.borrow().leader() {
+        if let Some(leader) = self.storage.borrow().contact.leader() {
             leader.writer.send(&Message::Beat {
                 wall: self.clock.wall(),
                 uptime: self.clock.now(),
@@ -159,9 +171,9 @@
         }
     }
 
-    /// The leader's leave that a run brings. A run without a moment to leave by has leave for
-    /// good where the leader told what this edge knows of the replica: it is warm there, and
-    /// this edge has known it for less long, as after a start.
+    /// The permit that a run brings. A run without a moment to be sent by has a permit without
+    /// an end where the leader knows the same of the replica as this edge: it is warm by the
+    /// leader's clock, and this edge has known it for less long, as after a start.
     pub(super) fn permit_of(&self, spec: &RunSpec) -> Option<Permit> {
         let send_by = match spec.send_by {
             Some(send_by) => send_by,
@@ -174,7 +186,7 @@
         })
     }
 
-    /// Whether the leader told the same of a replica's warming up as is known here.
+    /// Whether the leader announced the same of a replica's warm-up as is known here.
     fn leader_knows(&self, replica: &str) -> bool {
         let view = self.view.borrow();
         let told = self.leader_view.borrow();
--- a/crates/cluster/src/edge/process.rs
+++ b/crates/cluster/src/edge/process.rs
@@ -1,12 +1,13 @@
 //! The event loop of an edge.
 
 use super::balance::Balance;
-use super::cluster::Cluster;
+
+use super::permits::PermitTurns;
 use super::ready::Accepting;
 use super::runs::{RunNews, Runs};
 use super::scoring::Scorings;
-use super::starting::Known;
-use super::warming::Asking;
+use super::starting::FleetKnowledge;
+use super::storage_links::StorageLinks;
 use super::{front, ready};
 use crate::clock::{Clock, Standstill};
 use crate::evacuation::Evacuations;
@@ -56,15 +57,15 @@
     pub evacuations: RefCell<Evacuations>,
     /// Look-ups in the view's configuration; none before one is known.
     pub index: RefCell<Option<Rc<ConfigurationIndex>>>,
-    /// What this edge was told since its start; it only becomes more.
-    pub fleet_known: tokio::sync::watch::Sender<Known>,
+    /// How much is known since this edge's start.
+    pub fleet_known: tokio::sync::watch::Sender<FleetKnowledge>,
     /// The view as the leader told it; none before it told a whole one.
     pub leader_view: RefCell<Option<FleetView>>,
     /// The view some looks ago: by now the leader should have told all of it.
     seen_view: RefCell<FleetView>,
     /// Looks since then.
     looks: Cell<u32>,
-    pub cluster: RefCell<Cluster>,
+    pub storage: RefCell<StorageLinks>,
     /// What links share: distances, counts.
     pub links: Rc<LinkContext>,
     /// When counts of links were last logged, in ms.
@@ -87,8 +88,7 @@
     pub leader_clock: RefCell<LeaderClock>,
     /// Contents under which replicas ended.
     pub quarantine: RefCell<Recorder>,
-    /// Questions for leave to send to replicas that warm up.
-    pub asking: RefCell<Asking>,
+    pub permit_turns: RefCell<PermitTurns>,
     pub requests: Cell<usize>,
     /// Becomes true when connections are to end after their present request.
     pub closing: tokio::sync::watch::Sender<bool>,
@@ -128,7 +128,7 @@
     };
     let evacuates = settings.process.evacuates;
     let may_bootstrap = settings.process.may_bootstrap;
-    let cluster = Cluster::new(hello, may_bootstrap, events.clone(), Rc::clone(&context));
+    let storage = StorageLinks::new(hello, may_bootstrap, events.clone(), Rc::clone(&context));
     log::info!(
         "event=started role=edge machine={} front={}",
         settings.process.machine,
@@ -144,11 +144,11 @@
         view: RefCell::new(FleetView::unknown(evacuates)),
         evacuations: RefCell::default(),
         index: RefCell::new(None),
-        fleet_known: tokio::sync::watch::Sender::new(Known::Nothing),
+        fleet_known: tokio::sync::watch::Sender::new(FleetKnowledge::Nothing),
         leader_view: RefCell::new(None),
         seen_view: RefCell::new(FleetView::default()),
         looks: Cell::new(0),
-        cluster: RefCell::new(cluster),
+        storage: RefCell::new(storage),
         links: context,
         traffic_told_at: Cell::new(0),
         reader_paused_until: Cell::new(0),
@@ -163,7 +163,7 @@
         usage: RefCell::new(usage),
         leader_clock: RefCell::default(),
         quarantine: RefCell::default(),
-        asking: RefCell::default(),
+        permit_turns: RefCell::default(),
         requests: Cell::new(0),
         closing: tokio::sync::watch::Sender::new(false),
         relief: tokio::sync::watch::Sender::new(0),
@@ -176,7 +176,7 @@
     ));
     tokio::task::spawn_local(ready::serve(Rc::clone(&edge), ready_listener));
     tokio::task::spawn_local(front::serve(Rc::clone(&edge), front_listener));
-    tokio::task::spawn_local(super::asking::find_members(Rc::clone(&edge)));
+    tokio::task::spawn_local(super::member_search::find_members(Rc::clone(&edge)));
     serve_metrics(&edge, log_ring);
     let mut observed = edge.platform.observed.clone();
     edge.set_interest(edge.clock.now());
@@ -248,9 +248,9 @@
 impl Edge {
     fn on_link(self: &Rc<Self>, event: LinkEvent) {
         let now = self.clock.now();
-        let actions = self.cluster.borrow_mut().on_link(event, now);
+        let actions = self.storage.borrow_mut().on_link(event, now);
         for action in actions {
-            super::cluster::act(self, action);
+            super::leader_messages::apply(self, action);
         }
     }
 
@@ -284,7 +284,7 @@
     /// know something newer, and as many whole views of thousands of replicas at once are
     /// more than a leader's memory holds.
     fn send_what_leader_lacks(&self) {
-        if !self.cluster.borrow().watches_for_leader() {
+        if !self.storage.borrow().contact.watches_for_leader() {
             return;
         }
         self.looks.set(self.looks.get() + 1);
@@ -296,7 +296,7 @@
         let seen = self.seen_view.replace(view.clone());
         let told = self.leader_view.borrow();
         let lacks = told.as_ref().is_some_and(|told| seen.has_news_for(told));
-        if lacks && let Some(leader) = self.cluster.borrow().leader() {
+        if lacks && let Some(leader) = self.storage.borrow().contact.leader() {
             log::info!(
                 "event=leader_told configuration={} replicas_revision={} versions_revision={}",
                 view.configuration_revision,
@@ -361,7 +361,7 @@
 
     /// Watches the view's source as long as that is wanted.
     fn set_interest(&self, now: u64) {
-        let watch = self.cluster.borrow_mut().wanted_watch(now);
+        let watch = self.storage.borrow_mut().contact.wanted_watch(now);
         let wanted = match watch {
             Watch::Nothing => Interest::NONE,
             Watch::Fleet => Interest {
@@ -450,7 +450,7 @@
 
     fn tick(self: &Rc<Self>) {
         let now = self.clock.now();
-        self.cluster.borrow_mut().tick(self.clock.wall(), now);
+        self.storage.borrow_mut().tick(self.clock.wall(), now);
         self.reconcile_lives();
         self.set_interest(now);
         self.send_what_leader_lacks();
@@ -459,7 +459,7 @@
         self.report_usage();
         self.quarantine.borrow_mut().tick(now);
         self.pool.close_old();
-        self.asking.borrow_mut().forget_idle();
+        self.permit_turns.borrow_mut().forget_idle();
         if now >= self.traffic_told_at.get() + TRAFFIC_PAUSE {
             self.traffic_told_at.set(now);
             self.links.log_traffic();
--- a/crates/cluster/src/edge/ready.rs
+++ b/crates/cluster/src/edge/ready.rs
@@ -102,7 +102,11 @@
     /// Whether neither a leader nor the view's source is heard: without a leader an
     /// edge asks the source by itself.
     pub(super) fn is_cut_off(&self) -> bool {
-        let alone = self.cluster.borrow_mut().leaderless_for(self.clock.now());
+        let alone = self
+            .storage
+            .borrow_mut()
+            .contact
+            .leaderless_for(self.clock.now());
         let source_answers = self.platform.observed.borrow().reachable;
         alone >= CUT_OFF_TIME && !source_answers
     }
--- a/crates/cluster/src/edge/residency.rs
+++ b/crates/cluster/src/edge/residency.rs
@@ -43,7 +43,7 @@
 }
 
 /// Whether a request whose data may be in these regions can be served; `may_hold` is what is
-/// known of the log's members for a job, see `Cluster::may_hold`.
+/// known of the log's members for a job, see `StorageLinks::may_hold`.
 ///
 /// # Errors
 /// Why it is refused.
@@ -70,7 +70,7 @@
         regions: &Regions,
     ) -> Result<(), Box<Response<Body>>> {
         let may_hold = if route.kind.is_job() {
-            self.cluster.borrow().may_hold(regions)
+            self.storage.borrow().may_hold(regions)
         } else {
             Some(true)
         };
@@ -94,7 +94,7 @@
         };
         let tenant = submission.tenant.as_deref();
         let regions = regions_of_bodies(&configuration, route, tenant, &submission.items);
-        let may_hold = self.cluster.borrow().may_hold(&regions);
+        let may_hold = self.storage.borrow().may_hold(&regions);
         check(&regions, may_hold)
     }
 
--- a/crates/cluster/src/edge/retry_after.rs
+++ b/crates/cluster/src/edge/retry_after.rs
@@ -73,7 +73,11 @@
         let expected = match lack {
             Lack::Configuration => CONFIGURATION_TIME,
             Lack::Leader => {
-                let leaderless_ms = self.cluster.borrow_mut().leaderless_for(self.clock.now());
+                let leaderless_ms = self
+                    .storage
+                    .borrow_mut()
+                    .contact
+                    .leaderless_for(self.clock.now());
                 ELECTION_TIME.saturating_sub(Duration::from_millis(leaderless_ms))
             }
             Lack::Answer => OTHER_EDGE_TIME,
--- a/crates/cluster/src/edge/runs.rs
+++ b/crates/cluster/src/edge/runs.rs
@@ -97,7 +97,7 @@
 impl Edge {
     /// Begins a run that the leader ordered, unless its leader is an older one than known here.
     pub(super) fn start_run(self: &Rc<Self>, spec: RunSpec) {
-        let is_old = spec.attempt.term < self.cluster.borrow().newest_term();
+        let is_old = spec.attempt.term < self.storage.borrow().contact.newest_term();
         if is_old || self.runs.borrow().by_attempt.contains_key(&spec.attempt) {
             return;
         }
@@ -184,7 +184,7 @@
 
     /// Ends a run that is not wanted any more, by a leader of this term.
     pub(super) fn cancel_run(&self, term: u64, attempt: AttemptId) {
-        if term >= self.cluster.borrow().newest_term() {
+        if term >= self.storage.borrow().contact.newest_term() {
             self.end_run(attempt, RunEnd::Cancelled);
             // Its text may have become whole meanwhile: nothing more is to begin for it.
             if self.runs.borrow().is_being_scored(attempt) {
@@ -247,7 +247,7 @@
 
     /// Reports to the leader what the runs made since the last time.
     pub(super) fn report_progress(&self) {
-        if self.cluster.borrow().leader().is_none() {
+        if self.storage.borrow().contact.leader().is_none() {
             return;
         }
         let mut reports = Vec::new();
@@ -271,11 +271,11 @@
 
     /// Sends a leader a numbered list of all runs, which makes earlier orders void.
     pub(super) fn register_runs(&self, term: u64) {
-        if self.cluster.borrow().leader().is_none() {
+        if self.storage.borrow().contact.leader().is_none() {
             return;
         }
         let uptime = self.clock.now();
-        let registration = self.cluster.borrow_mut().begin_registration(uptime);
+        let registration = self.storage.borrow_mut().begin_registration(uptime);
         self.drop_ordered_scorings();
         let mut reports = Vec::new();
         for (attempt, run) in &self.runs.borrow().by_attempt {
--- a/crates/cluster/src/edge/scoring.rs
+++ b/crates/cluster/src/edge/scoring.rs
@@ -40,7 +40,7 @@
     /// Scores a text made elsewhere.
     pub(super) fn order_scoring(self: &Rc<Self>, spec: ScoringSpec) {
         let attempt = spec.attempt;
-        let is_old = attempt.term < self.cluster.borrow().newest_term();
+        let is_old = attempt.term < self.storage.borrow().contact.newest_term();
         if is_old || self.scorings.borrow().contains_key(&attempt) {
             return;
         }
@@ -110,7 +110,7 @@
 /// Logs the leader that this edge knows as a call begins, and how long ago it was last heard:
 /// only a leader knows that the call's job has ended.
 fn log_begin(edge: &Edge, call: &ScoringCall, item_id: &str) {
-    let heard = edge.cluster.borrow().leader_heard(edge.clock.now());
+    let heard = edge.storage.borrow().contact.leader_heard(edge.clock.now());
     let (term, heard_ms) = heard.unzip();
     log::info!(
         "event=scoring_begun item={item_id} request={} leader_term={} leader_heard_ms={}",
--- a/crates/cluster/src/edge/usage.rs
+++ b/crates/cluster/src/edge/usage.rs
@@ -33,7 +33,7 @@
 
     /// Tells the leader what it does not know yet.
     pub(super) fn report_usage(&self) {
-        if self.cluster.borrow().leader().is_none() {
+        if self.storage.borrow().contact.leader().is_none() {
             return;
         }
         let time = self.true_time();
--- a/crates/cluster/tests/unit/asking.rs
+++ b/crates/cluster/tests/unit/member_search.rs
@@ -1,6 +1,6 @@
-//! The pause of an edge that looks for storage processes.
+//! The pauses of an edge that searches for storage processes.
 
-use super::{FOUND_PAUSE, await_known};
+use super::{FOUND_PAUSE, LONGEST_SEARCH_PAUSE, SEARCH_PAUSE, await_known, longer_pause};
 use crate::clock::Moment;
 use rstest::rstest;
 use std::time::Duration;
@@ -24,10 +24,16 @@
 
 #[rstest]
 #[tokio::test]
-async fn the_pause_has_an_end() {
+async fn the_pause_ends_at_its_limit() {
     let (_leaders, known) = watch::channel::<Option<&str>>(None);
     let begun = Moment::now();
     await_known(known, Duration::from_millis(60)).await;
     let elapsed = begun.elapsed();
     assert!(elapsed >= Duration::from_millis(60), "{elapsed:?}");
 }
+
+#[rstest]
+fn pauses_grow_up_to_the_longest() {
+    assert_eq!(longer_pause(SEARCH_PAUSE), Duration::from_millis(750));
+    assert_eq!(longer_pause(LONGEST_SEARCH_PAUSE), LONGEST_SEARCH_PAUSE);
+}
--- a/crates/cluster/tests/unit/starting.rs
+++ b/crates/cluster/tests/unit/starting.rs
@@ -1,6 +1,6 @@
 //! For how long requests wait for an edge's first configuration.
 
-use super::{hold, is_enough};
+use super::{is_enough, longest_queued};
 use brasspond_fleet::{Configuration, FleetView, Limits};
 use rstest::rstest;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 #[case::much_time(1_999, Some(60_000), 500)]
 #[case::little_time(10, Some(60), 15)]
 #[case::cut_off(2_000, Some(1_000), 0)]
-fn a_part_of_the_callers_time_while_the_edge_starts(
+fn requests_are_queued_for_a_part_of_their_time_while_the_edge_starts(
     #[case] up_ms: u64,
     #[case] deadline: Option<u64>,
     #[case] held: u64,
 ) {
     let deadline = deadline.map(Duration::from_millis);
-    assert_eq!(hold(up_ms, deadline), Duration::from_millis(held));
+    assert_eq!(longest_queued(up_ms, deadline), Duration::from_millis(held));
 }
 
-/// A configuration alone leads nowhere: a request was turned away 4 ms before the replicas
-/// came.
+/// A configuration alone leads nowhere: a request would be turned away just before the replicas
+/// are known.
 #[rstest]
 #[case::nothing(false, 0, 0, false, false)]
 #[case::configuration_alone(true, 0, 0, false, false)]
--- a/crates/cluster/tests/unit/cluster.rs
+++ b/crates/cluster/tests/unit/storage_links.rs
@@ -1,6 +1,6 @@
 //! For how long an edge has been without a leader, and whose orders it follows.
 
-use super::{Cluster, LinkAction};
+use super::{LinkAction, StorageLinks};
 use crate::link::{LinkContext, LinkEvent, Writer};
 use brasspond_cluster_protocol::{AttemptId, Message, Peer, ScoringSpec, Watch};
 use brasspond_fleet::Regions;
@@ -24,7 +24,7 @@
     }
 }
 
-fn edge_cluster() -> Cluster {
+fn storage_links() -> StorageLinks {
     let (events, _) = mpsc::channel(1);
     let hello = Peer::Edge {
         machine: "edge-1".to_string(),
@@ -34,7 +34,7 @@
     };
     let place = brasspond_distance::Place::new("zone", None);
     let context = Rc::new(LinkContext::new(place));
-    Cluster::new(hello, false, events, context)
+    StorageLinks::new(hello, false, events, context)
 }
 
 fn up() -> LinkEvent {
@@ -46,7 +46,7 @@
     }
 }
 
-fn told(message: Message) -> LinkEvent {
+fn arrived(message: Message) -> LinkEvent {
     LinkEvent::Message {
         link: LINK,
         message,
@@ -74,55 +74,55 @@
     }
 }
 
-/// An order that was under way while this edge told its runs is of a leader that has given it
-/// up since: nobody would end what it begins.
+/// An order that was under way while this edge registered its runs is of a leader that has given
+/// the run up since: no leader would end what it begins.
 #[rstest]
-fn an_order_given_before_the_runs_were_told_is_not_followed() {
-    let mut cluster = edge_cluster();
-    cluster.on_link(up(), 0);
-    cluster.on_link(told(leading()), 10);
-    let registration = cluster.begin_registration(10);
-    let followed = cluster.on_link(told(forgotten_score(registration)), 20);
+fn an_order_given_before_the_newest_registration_is_refused() {
+    let mut links = storage_links();
+    links.on_link(up(), 0);
+    links.on_link(arrived(leading()), 10);
+    let registration = links.begin_registration(10);
+    let followed = links.on_link(arrived(forgotten_score(registration)), 20);
     assert!(matches!(followed[..], [LinkAction::Score(_)]));
-    cluster.begin_registration(30);
+    links.begin_registration(30);
     assert!(
-        cluster
-            .on_link(told(forgotten_score(registration)), 40)
+        links
+            .on_link(arrived(forgotten_score(registration)), 40)
             .is_empty()
     );
 }
 
-/// A leader that gave this edge up without this edge's noticing is told the runs again.
+/// A leader that gave this edge up, which the edge did not observe, is sent the runs again.
 #[rstest]
-fn a_leader_that_holds_nothing_is_told_the_runs_again() {
-    let mut cluster = edge_cluster();
-    cluster.on_link(up(), 0);
-    cluster.on_link(told(leading()), 10);
-    cluster.begin_registration(10);
-    let registered = |registration| told(Message::Registered(registration));
-    assert!(cluster.on_link(registered(None), 20).is_empty());
-    // It stood still, and hears the same leader before it looks at the silence.
-    let actions = cluster.on_link(told(leading()), 2_000);
+fn runs_are_registered_again_with_a_leader_that_knows_none() {
+    let mut links = storage_links();
+    links.on_link(up(), 0);
+    links.on_link(arrived(leading()), 10);
+    links.begin_registration(10);
+    let registered = |registration| arrived(Message::Registered(registration));
+    assert!(links.on_link(registered(None), 20).is_empty());
+    // The edge was suspended, and hears the same leader before the tick that finds it silent.
+    let actions = links.on_link(arrived(leading()), 2_000);
     assert!(
         !actions
             .iter()
             .any(|one| matches!(one, LinkAction::NewLeader(_)))
     );
-    let actions = cluster.on_link(registered(None), 2_000);
+    let actions = links.on_link(registered(None), 2_000);
     assert!(matches!(actions[..], [LinkAction::RegisterRuns(2)]));
 }
 
-/// A leader that was known for less than a look ends the time without one.
+/// A leader that was known for less than a tick ends the time without one.
 #[rstest]
-fn a_leader_known_for_a_moment_ends_the_time_alone() {
-    let mut cluster = edge_cluster();
-    assert_eq!(cluster.leaderless_for(0), 0);
-    cluster.on_link(up(), 100);
-    cluster.on_link(told(leading()), 150);
-    assert!(cluster.leader().is_some());
-    // The process stands still until its leader counts as silent.
-    cluster.tick(0, 2_500);
-    assert!(cluster.leader().is_none());
-    assert_eq!(cluster.leaderless_for(2_500), 0);
-    assert_eq!(cluster.leaderless_for(2_700), 200);
+fn a_leader_known_for_a_moment_ends_the_time_without_one() {
+    let mut links = storage_links();
+    assert_eq!(links.contact.leaderless_for(0), 0);
+    links.on_link(up(), 100);
+    links.on_link(arrived(leading()), 150);
+    assert!(links.contact.leader().is_some());
+    // The process is suspended until its leader counts as silent.
+    links.tick(0, 2_500);
+    assert!(links.contact.leader().is_none());
+    assert_eq!(links.contact.leaderless_for(2_500), 0);
+    assert_eq!(links.contact.leaderless_for(2_700), 200);
 }
--- a/crates/cluster/tests/unit/work_lease.rs
+++ b/crates/cluster/tests/unit/work_lease.rs
@@ -1,6 +1,6 @@
-//! Leave to begin work ends by itself and is given by whoever knows the runs alone.
+//! The work lease ends by itself, and only a leader that knows the runs renews it.
 
-use super::{TELLING_TIME, WorkLease};
+use super::{FIRST_REGISTRATION_TIMEOUT_MS, WorkLease};
 use brasspond_cluster_protocol::Registration;
 use rstest::rstest;
 
@@ -12,7 +12,7 @@
 }
 
 #[rstest]
-fn nothing_begins_before_a_leader_gave_leave_and_after_it_is_over() {
+fn work_begins_only_within_the_lease() {
     let mut lease = WorkLease::default();
     assert!(!lease.allows(0));
     let registration = lease.begin_registration(10);
@@ -21,7 +21,7 @@
     assert!(!lease.allows(2_000));
 }
 
-/// A renewal that was under way for long gives no more leave than one that came at once.
+/// A renewal that was under way for long lasts no longer than one that came at once.
 #[rstest]
 fn a_late_renewal_does_not_last_longer() {
     let mut lease = WorkLease::default();
@@ -31,7 +31,7 @@
 }
 
 #[rstest]
-fn an_older_renewal_takes_no_leave_back() {
+fn an_older_renewal_does_not_shorten_the_lease() {
     let mut lease = WorkLease::default();
     let registration = lease.begin_registration(0);
     lease.renew(known(registration, 2_000), 10);
@@ -40,9 +40,9 @@
 }
 
 #[rstest]
-#[case::holds_nothing(None)]
-#[case::goes_by_an_older_telling(known(1, 9_000))]
-fn a_leader_that_does_not_know_the_runs_gives_no_leave_and_is_told_them(
+#[case::knows_nothing(None)]
+#[case::knows_an_older_registration(known(1, 9_000))]
+fn a_leader_that_does_not_know_the_runs_gives_no_lease_and_is_sent_them(
     #[case] registration: Option<Registration>,
 ) {
     let mut lease = WorkLease::default();
@@ -50,26 +50,26 @@
     lease.begin_registration(100);
     // The registration may be under way.
     assert!(lease.renew(registration, 200));
-    assert!(!lease.renew(registration, 100 + TELLING_TIME));
+    assert!(!lease.renew(registration, 100 + FIRST_REGISTRATION_TIMEOUT_MS));
     assert!(!lease.allows(200));
 }
 
-/// A leader that is not sure to lead keeps the runs and gives no leave.
+/// A leader that is not confirmed keeps the runs and gives no lease.
 #[rstest]
-fn a_leader_that_is_not_sure_gives_no_leave() {
+fn a_leader_that_is_not_confirmed_gives_no_lease() {
     let mut lease = WorkLease::default();
     let registration = lease.begin_registration(0);
-    let unsure = Registration {
+    let unconfirmed = Registration {
         number: registration,
         until: None,
     };
-    assert!(lease.renew(Some(unsure), 5_000));
+    assert!(lease.renew(Some(unconfirmed), 5_000));
     assert!(!lease.allows(5_000));
 }
 
-/// Leave outlives a registration: a leader that knew all that had ended gave it.
+/// The lease outlives a registration: a leader that knew all that had ended gave it.
 #[rstest]
-fn a_new_telling_ends_no_leave() {
+fn a_new_registration_does_not_end_the_lease() {
     let mut lease = WorkLease::default();
     let registration = lease.begin_registration(0);
     lease.renew(known(registration, 2_000), 10);
@@ -77,14 +77,14 @@
     assert!(lease.allows(1_000));
 }
 
-/// A leader that reads and answers late still gives leave: registration the runs again before its
+/// A leader that reads and answers late still gives a lease: to register the runs again before its
 /// answer can be there makes that answer void, and the next one too, for as long as it is late.
 #[rstest]
 #[case::near(50)]
 #[case::busy(400)]
 #[case::very_busy(600)]
 #[case::as_late_as_an_edge_may_be_silent(750)]
-fn an_edge_whose_telling_is_answered_late_gets_leave(#[case] one_way: u64) {
+fn an_edge_whose_registration_is_answered_late_gets_a_lease(#[case] one_way: u64) {
     const STEP: u64 = 10;
     const PAUSE: u64 = 500;
     let mut lease = WorkLease::default();
