--- a/crates/cluster/src/edge/evacuation.rs
+++ b/crates/cluster/src/edge/evacuation.rs
@@ -9,7 +9,7 @@
     /// Notes in log and metrics what changed of evacuated zones.
     pub(super) fn observe_evacuations(&self, view: &FleetView) {
         let now = self.clock.now();
-        let mut evacuations = self.evacuations.borrow_mut();
+        let mut evacuations = self.fleet.evacuations.borrow_mut();
         for change in evacuations.take(view, now) {
             log::info!("{change} role=edge revision={}", view.evacuated_revision);
         }
@@ -25,8 +25,8 @@
     /// wait for the next look ([`Edge::send_what_leader_lacks`]), 0.75 to 1 s; this may not,
     /// and is of some bytes.
     pub(super) fn report_source_evacuations(&self) {
-        let view = self.view.borrow();
-        let told = self.leader_view.borrow();
+        let view = self.fleet.view.borrow();
+        let told = self.fleet.leader_view.borrow();
         let is_told = told.as_ref().is_some_and(|told| {
             told.evacuated_revision >= view.evacuated_revision || view.evacuates_like(told)
         });
@@ -37,7 +37,7 @@
 
     /// Tells a new leader what is known here: it believes nothing from before its term.
     pub(super) fn report_evacuations(&self) {
-        self.send_evacuated(&self.view.borrow());
+        self.send_evacuated(&self.fleet.view.borrow());
     }
 
     fn send_evacuated(&self, view: &FleetView) {
--- a/crates/cluster/src/edge/forward.rs
+++ b/crates/cluster/src/edge/forward.rs
@@ -7,7 +7,7 @@
 use super::attempt::ReplicaAnswer;
 use super::attempt_error::AttemptError;
 use super::attempts::{LEAST_TIME_TO_SEND, attempt_timeout, may_offer_again};
-use super::front::Counted;
+use super::draining::Counted;
 use super::headers::{header_number, header_text, host_of};
 use super::passing::pass_stream;
 use super::process::Edge;
@@ -106,7 +106,7 @@
         if route.targets.len() < 2 {
             return 0;
         }
-        let mut counts = self.counts.borrow_mut();
+        let mut counts = self.route_counts.borrow_mut();
         // Edges begin at places of their own.
         let count = counts
             .entry(route.name.clone())
@@ -237,7 +237,7 @@
     }
 
     fn log_answer(&self, replica: &str, attempt: u32, status: StatusCode) {
-        let view = self.edge.view.borrow();
+        let view = self.edge.fleet.view.borrow();
         let elapsed = self.arrived.elapsed();
         let distance = self.edge.balance.borrow().distance(replica);
         log::info!(
--- a/crates/cluster/src/edge/front.rs
+++ b/crates/cluster/src/edge/front.rs
@@ -1,6 +1,7 @@
 //! What callers connect to.
 
 use super::answers::{Body, json, plain, uncertain};
+use super::draining::Counted;
 use super::forward::{Admitted, forward};
 use super::headers::{header_text, host_of};
 use super::process::Edge;
@@ -49,7 +50,7 @@
 
 /// Accepts callers until the edge stops.
 pub(super) async fn serve(edge: Rc<Edge>, listener: TcpListener) {
-    let mut closing = edge.closing.subscribe();
+    let mut closing = edge.callers.watch_closing();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -59,7 +60,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                edge.accepting.succeeded();
+                edge.callers.accepting.succeeded();
                 tokio::task::spawn_local(serve_connection(Rc::clone(&edge), stream));
             }
             Err(error) => {
@@ -73,13 +74,13 @@
 impl Edge {
     /// Makes room for new connections: descriptors are most likely used up.
     fn accept_failed(&self, error: &std::io::Error) {
-        if self.accepting.failed(self.clock.now()) {
+        if self.callers.accepting.failed(self.clock.now()) {
             log::warn!(
                 "event=accept_failed error=\"{error}\" requests={}",
-                self.requests.get()
+                self.callers.requests()
             );
             self.pool.close_all();
-            self.relief.send_modify(|count| *count += 1);
+            self.callers.relieve();
         }
     }
 }
@@ -87,11 +88,11 @@
 async fn serve_connection(edge: Rc<Edge>, stream: TcpStream) {
     crate::link::prepare(&stream);
     let limits = {
-        let view = edge.view.borrow();
+        let view = edge.fleet.view.borrow();
         view.configuration.as_ref().map(|one| one.limits)
     };
     let limits = limits.unwrap_or_default();
-    let mut closing = edge.closing.subscribe();
+    let mut closing = edge.callers.watch_closing();
     let handler = Rc::clone(&edge);
     let service = service_fn(move |request| {
         let edge = Rc::clone(&handler);
@@ -104,7 +105,7 @@
         .max_buf_size(limits.header_bytes.max(BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    let mut relief = edge.relief.subscribe();
+    let mut relief = edge.callers.watch_relief();
     let stopped = pin!(async {
         tokio::select! {
             _ = closing.wait_for(|closing| *closing) => {}
@@ -121,25 +122,6 @@
     let _ = connection.await;
 }
 
-/// Counts a request until its answer is passed on whole.
-pub(super) struct Counted(Rc<Edge>);
-
-impl Counted {
-    fn new(edge: &Rc<Edge>) -> Self {
-        edge.requests.set(edge.requests.get().saturating_add(1));
-        Self(Rc::clone(edge))
-    }
-}
-
-impl Drop for Counted {
-    fn drop(&mut self) {
-        let count = self.0.requests.get();
-        if count != usize::MAX {
-            self.0.requests.set(count.saturating_sub(1));
-        }
-    }
-}
-
 async fn answer(edge: &Rc<Edge>, request: Request<Incoming>) -> Response<Body> {
     let counted = Counted::new(edge);
     let begun = Moment::now();
@@ -157,7 +139,7 @@
     if let Some(told) = told {
         told.log(edge, response.status(), begun);
     }
-    if edge.draining.get() {
+    if edge.callers.is_draining() {
         let close = HeaderValue::from_static("close");
         response
             .headers_mut()
--- a/crates/cluster/src/edge/leader_messages.rs
+++ b/crates/cluster/src/edge/leader_messages.rs
@@ -32,16 +32,18 @@
                 leader.writer.waiting_bytes()
             );
             self.metrics.leader_message_lost();
-            self.has_lost_messages.set(true);
+            self.storage.borrow().has_lost_message.set(true);
         }
     }
 
     /// Sends the leader all again where a message was lost.
     pub(super) fn repeat_lost_messages(&self) {
         let leader = self.storage.borrow().contact.leader();
-        if let Some(leader) = leader
-            && self.has_lost_messages.replace(false)
-        {
+        let Some(leader) = leader else {
+            return;
+        };
+        let has_lost = self.storage.borrow().has_lost_message.take();
+        if has_lost {
             self.report_all(leader.term);
         }
     }
@@ -52,18 +54,18 @@
     match action {
         LinkAction::NewLeader(term) => {
             // What the leader before sent says nothing of what this one knows; it sends a whole view.
-            edge.leader_view.replace(None);
+            edge.fleet.leader_view.replace(None);
             edge.report_all(term);
         }
         LinkAction::RegisterRuns(term) => edge.register_runs(term),
         LinkAction::Quarantine(update) => edge.apply_quarantine(update),
         LinkAction::Time(time, closed) => edge.apply_time(time, closed),
         LinkAction::View(view) => {
-            edge.leader_view.replace(Some(view.clone()));
+            edge.fleet.leader_view.replace(Some(view.clone()));
             edge.apply_view(&view);
         }
         LinkAction::ViewChanged(delta, link) => {
-            let is_known = edge.apply_leader_delta(&delta);
+            let is_known = edge.fleet.apply_leader_delta(&delta);
             if edge.apply_delta(&delta).is_err() || !is_known {
                 let now = edge.clock.now();
                 edge.storage.borrow_mut().request_view(link, now);
--- a/crates/cluster/src/edge/passing.rs
+++ b/crates/cluster/src/edge/passing.rs
@@ -7,9 +7,9 @@
 use super::answers::Body;
 use super::attempt::{InFlight, ReplicaAnswer};
 use super::attempts::{LEAST_TIME_TO_RESUME, may_resume_stream, stream_stall_timeout};
+use super::draining::Counted;
 use super::event_buffer::EventBuffer;
 use super::forward::Forwarded;
-use super::front::Counted;
 use crate::clock::{Moment, within};
 use crate::upstream::Connection;
 use brasspond_eligibility::{Clearance, Unfit};
--- a/crates/cluster/src/edge/permits.rs
+++ b/crates/cluster/src/edge/permits.rs
@@ -188,8 +188,8 @@
 
     /// Whether the leader announced the same of a replica's warm-up as is known here.
     fn leader_knows(&self, replica: &str) -> bool {
-        let view = self.view.borrow();
-        let told = self.leader_view.borrow();
+        let view = self.fleet.view.borrow();
+        let told = self.fleet.leader_view.borrow();
         let told = told.as_ref();
         told.is_some_and(|told| view.tells_warming_like(told, replica))
     }
--- a/crates/cluster/src/edge/questions.rs
+++ b/crates/cluster/src/edge/questions.rs
@@ -62,20 +62,17 @@
     /// The answer of the storage process near by; none: the leader must be asked.
     async fn ask_reader(&self, question: &Question, wait: Duration) -> Option<Answer> {
         let now = self.clock.now();
-        if now < self.reader_paused_until.get() {
-            return None;
-        }
         let asked = {
             let mut storage = self.storage.borrow_mut();
-            let reader = storage.reader()?;
+            let reader = storage.reader(now)?;
             storage.ask(reader.link, &reader.writer, question.clone())?
         };
         match within(wait + READER_ANSWER_TIMEOUT, asked).await {
             Ok(Ok(answer @ Answer::Page(Some(_)))) => Some(answer),
             Ok(Ok(_)) => None,
             Ok(Err(_)) | Err(_) => {
-                self.reader_paused_until
-                    .set(self.clock.now() + READER_PAUSE_MS);
+                let until = self.clock.now() + READER_PAUSE_MS;
+                self.storage.borrow_mut().pause_reader(until);
                 None
             }
         }
--- a/crates/cluster/src/edge/ready.rs
+++ b/crates/cluster/src/edge/ready.rs
@@ -93,10 +93,10 @@
     /// that said it was ready while its descriptors were used up was handed callers that
     /// waited for nothing.
     pub(super) fn is_ready(&self) -> bool {
-        let view = self.view.borrow();
+        let view = self.fleet.view.borrow();
         let knows = view.configuration.is_some() && view.knows_evacuated();
-        let is_stuck = self.accepting.is_stuck(self.clock.now());
-        !self.draining.get() && !is_stuck && knows && !self.is_cut_off()
+        let is_stuck = self.callers.accepting.is_stuck(self.clock.now());
+        !self.callers.is_draining() && !is_stuck && knows && !self.is_cut_off()
     }
 
     /// Whether neither a leader nor the view's source is heard: without a leader an
--- a/crates/cluster/src/edge/refusal.rs
+++ b/crates/cluster/src/edge/refusal.rs
@@ -81,7 +81,7 @@
     }
 
     fn log_refusal(&self, history: &History) {
-        let view = self.edge.view.borrow();
+        let view = self.edge.fleet.view.borrow();
         let ready = view.working_replicas(self.service()).count();
         log::info!(
             "event=request_failed request={} route={} service={} content={} attempts={} offers={} quarantined={} unfit={} may_have_run={} late={} ready_replicas={ready} elapsed_ms={} configuration={} replicas_revision={}",
--- a/crates/cluster/src/edge/residency.rs
+++ b/crates/cluster/src/edge/residency.rs
@@ -89,7 +89,7 @@
         route: &Route,
         submission: &Submission,
     ) -> Result<(), RegionRefusal> {
-        let Some(configuration) = self.view.borrow().configuration.clone() else {
+        let Some(configuration) = self.fleet.view.borrow().configuration.clone() else {
             return Ok(());
         };
         let tenant = submission.tenant.as_deref();
@@ -105,7 +105,7 @@
         route: &Route,
         outside: RegionRefusal,
     ) -> Response<Body> {
-        let configuration = self.view.borrow().configuration_revision;
+        let configuration = self.fleet.view.borrow().configuration_revision;
         log::info!(
             "event=request_refused request={id} route={} reason={} configuration={configuration}",
             route.name,
--- a/crates/cluster/src/edge/runs.rs
+++ b/crates/cluster/src/edge/runs.rs
@@ -6,7 +6,7 @@
 use super::item_run::run_item;
 use super::pace::PaceMeter;
 use super::process::Edge;
-use super::scoring::score;
+use super::scoring::{Scorings, score};
 use crate::clock::Moment;
 use brasspond_cluster_protocol::{
     AttemptId, Message, RunEnd, RunProgress, RunReport, RunSpec, ScoringEnd, StreamEvent,
@@ -15,6 +15,7 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
+use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
 /// Events of a run, as its task and the event loop share them.
@@ -81,6 +82,25 @@
     Scored(AttemptId, ScoringEnd),
 }
 
+/// Runs and scorings of this edge.
+pub(super) struct JobWork {
+    pub runs: RefCell<Runs>,
+    /// Scorings of texts that other edges made.
+    pub scorings: RefCell<Scorings>,
+    news: mpsc::Sender<RunNews>,
+}
+
+impl JobWork {
+    /// Tasks of runs report to `news`.
+    pub fn new(news: mpsc::Sender<RunNews>) -> Self {
+        Self {
+            runs: RefCell::default(),
+            scorings: RefCell::default(),
+            news,
+        }
+    }
+}
+
 /// All runs of this edge.
 #[derive(Default)]
 pub(super) struct Runs {
@@ -98,14 +118,21 @@
     /// Begins a run that the leader ordered, unless its leader is an older one than known here.
     pub(super) fn start_run(self: &Rc<Self>, spec: RunSpec) {
         let is_old = spec.attempt.term < self.storage.borrow().contact.newest_term();
-        if is_old || self.runs.borrow().by_attempt.contains_key(&spec.attempt) {
+        if is_old
+            || self
+                .jobs
+                .runs
+                .borrow()
+                .by_attempt
+                .contains_key(&spec.attempt)
+        {
             return;
         }
         let attempt = spec.attempt;
         let clearance = self.clear_run(&spec);
         let unfit = clearance.as_ref().err().copied();
         self.spawn_run(spec, clearance);
-        if self.draining.get() {
+        if self.callers.is_draining() {
             self.end_run(attempt, RunEnd::Cancelled);
         } else if let Some(unfit) = unfit {
             // The leader does not know it yet.
@@ -147,7 +174,7 @@
             is_scored,
             scoring: None,
         };
-        self.runs.borrow_mut().by_attempt.insert(attempt, run);
+        self.jobs.runs.borrow_mut().by_attempt.insert(attempt, run);
     }
 
     /// Runs an item and, once its text is whole, has it scored if that is wanted.
@@ -177,7 +204,7 @@
 
     /// Reports to the event loop what came of a run; a loop that has ended reads nothing more.
     async fn send_news(&self, news: RunNews) {
-        if self.run_news.send(news).await.is_err() {
+        if self.jobs.news.send(news).await.is_err() {
             log::info!("event=run_news_lost reason=the_process_ends");
         }
     }
@@ -187,7 +214,7 @@
         if term >= self.storage.borrow().contact.newest_term() {
             self.end_run(attempt, RunEnd::Cancelled);
             // Its text may have become whole meanwhile: nothing more is to begin for it.
-            if self.runs.borrow().is_being_scored(attempt) {
+            if self.jobs.runs.borrow().is_being_scored(attempt) {
                 self.end_scoring(attempt, ScoringEnd::Unanswered);
             }
         }
@@ -195,7 +222,7 @@
 
     /// Drops a run that the leader has recorded.
     pub(super) fn forget_run(&self, attempt: AttemptId) {
-        let run = self.runs.borrow_mut().by_attempt.remove(&attempt);
+        let run = self.jobs.runs.borrow_mut().by_attempt.remove(&attempt);
         if let Some(run) = run {
             run.task.abort();
         }
@@ -211,7 +238,7 @@
 
     /// Records how the scoring of a run's text ended and reports it to the leader, once.
     fn end_scoring(&self, attempt: AttemptId, end: ScoringEnd) {
-        let mut runs = self.runs.borrow_mut();
+        let mut runs = self.jobs.runs.borrow_mut();
         let Some(run) = runs.by_attempt.get_mut(&attempt) else {
             return;
         };
@@ -224,7 +251,7 @@
 
     /// Records how a run ended and reports it to the leader, once.
     fn end_run(&self, attempt: AttemptId, end: RunEnd) {
-        let mut runs = self.runs.borrow_mut();
+        let mut runs = self.jobs.runs.borrow_mut();
         let Some(run) = runs.by_attempt.get_mut(&attempt) else {
             return;
         };
@@ -251,7 +278,7 @@
             return;
         }
         let mut reports = Vec::new();
-        for (attempt, run) in &self.runs.borrow().by_attempt {
+        for (attempt, run) in &self.jobs.runs.borrow().by_attempt {
             if run.end.is_some() {
                 continue;
             }
@@ -278,7 +305,7 @@
         let registration = self.storage.borrow_mut().begin_registration(uptime);
         self.drop_ordered_scorings();
         let mut reports = Vec::new();
-        for (attempt, run) in &self.runs.borrow().by_attempt {
+        for (attempt, run) in &self.jobs.runs.borrow().by_attempt {
             reports.push(RunReport {
                 attempt: *attempt,
                 job: run.job.clone(),
@@ -294,17 +321,17 @@
             registration,
             uptime,
             runs: reports,
-            draining: self.draining.get(),
+            draining: self.callers.is_draining(),
         });
     }
 
     /// Hands every run back, so that other edges go on with them.
     pub(super) fn hand_over_runs(&self) {
         self.send_to_leader(&Message::Draining);
-        let attempts: Vec<AttemptId> = self.runs.borrow().by_attempt.keys().copied().collect();
+        let attempts: Vec<AttemptId> = self.jobs.runs.borrow().by_attempt.keys().copied().collect();
         for attempt in attempts {
             self.end_run(attempt, RunEnd::Cancelled);
-            if self.runs.borrow().is_being_scored(attempt) {
+            if self.jobs.runs.borrow().is_being_scored(attempt) {
                 self.end_scoring(attempt, ScoringEnd::Unanswered);
             }
         }
--- a/crates/cluster/src/edge/scoring.rs
+++ b/crates/cluster/src/edge/scoring.rs
@@ -41,12 +41,12 @@
     pub(super) fn order_scoring(self: &Rc<Self>, spec: ScoringSpec) {
         let attempt = spec.attempt;
         let is_old = attempt.term < self.storage.borrow().contact.newest_term();
-        if is_old || self.scorings.borrow().contains_key(&attempt) {
+        if is_old || self.jobs.scorings.borrow().contains_key(&attempt) {
             return;
         }
         let edge = Rc::clone(self);
         let task = tokio::task::spawn_local(async move {
-            let end = if edge.draining.get() {
+            let end = if edge.callers.is_draining() {
                 ScoringEnd::Unanswered
             } else {
                 score(
@@ -58,16 +58,16 @@
                 )
                 .await
             };
-            edge.scorings.borrow_mut().remove(&attempt);
+            edge.jobs.scorings.borrow_mut().remove(&attempt);
             edge.report_scored(attempt, end);
         });
         let task = task.abort_handle();
-        self.scorings.borrow_mut().insert(attempt, task);
+        self.jobs.scorings.borrow_mut().insert(attempt, task);
     }
 
     /// Ends a scoring that is not wanted any more.
     pub(super) fn forget_scoring(&self, attempt: AttemptId) {
-        let task = self.scorings.borrow_mut().remove(&attempt);
+        let task = self.jobs.scorings.borrow_mut().remove(&attempt);
         if let Some(task) = task {
             task.abort();
         }
@@ -77,7 +77,7 @@
     /// leader would end them with their job. The leader that accepts the registration orders them
     /// again.
     pub(super) fn drop_ordered_scorings(&self) {
-        for (attempt, task) in self.scorings.borrow_mut().drain() {
+        for (attempt, task) in self.jobs.scorings.borrow_mut().drain() {
             log::info!("event=scoring_dropped attempt={attempt} reason=older_telling");
             task.abort();
         }
@@ -85,7 +85,7 @@
 
     /// Hands ordered scorings back, so that other edges go on with them.
     pub(super) fn hand_over_scorings(&self) {
-        let scorings = std::mem::take(&mut *self.scorings.borrow_mut());
+        let scorings = std::mem::take(&mut *self.jobs.scorings.borrow_mut());
         for (attempt, task) in scorings {
             task.abort();
             self.report_scored(attempt, ScoringEnd::Unanswered);
@@ -99,7 +99,7 @@
 
 /// Timeout of a call: that of its route.
 fn timeout_of(edge: &Edge, call: &ScoringCall) -> Duration {
-    let view = edge.view.borrow();
+    let view = edge.fleet.view.borrow();
     let configuration = view.configuration.as_ref();
     let route = configuration.and_then(|one| one.route(&call.host, &call.path));
     route.map_or(UNKNOWN_ROUTE_TIMEOUT, |route| {
@@ -255,7 +255,7 @@
 
     /// The request by the newest configuration's route; none: there is none.
     fn request(&self) -> Option<Forwarded> {
-        let configuration = self.edge.view.borrow().configuration.clone()?;
+        let configuration = self.edge.fleet.view.borrow().configuration.clone()?;
         let route = configuration.route(&self.call.host, &self.call.path)?;
         let head = self.head()?;
         let body = self.call.body.clone();
--- a/crates/cluster/src/edge/starting.rs
+++ b/crates/cluster/src/edge/starting.rs
@@ -60,12 +60,12 @@
     /// Look-ups in the configuration, for a request that was queued until one is known or its
     /// time for that is over; none: none is known even then.
     pub(super) async fn known_index(&self, headers: &HeaderMap) -> Option<Rc<ConfigurationIndex>> {
-        let is_known = || self.index.borrow().is_some();
+        let is_known = || self.fleet.index.borrow().is_some();
         if !is_known() {
             self.queue_until_known(FleetKnowledge::Configuration, headers, Duration::ZERO)
                 .await;
         }
-        self.index.borrow().clone()
+        self.fleet.index.borrow().clone()
     }
 
     /// Queues a request that is to go to a replica, and has waited for `waited` before, until
@@ -86,11 +86,11 @@
         let names = self.platform.wire.names();
         let deadline = header_number(headers, &names.deadline_ms).map(Duration::from_millis);
         let limit = longest_queued(self.clock.now(), deadline).saturating_sub(waited);
-        if limit.is_zero() || self.draining.get() {
+        if limit.is_zero() || self.callers.is_draining() {
             return;
         }
         let begun = Moment::now();
-        let mut known = self.fleet_known.subscribe();
+        let mut known = self.fleet.knowledge.subscribe();
         // Late or not, the caller checks what is lacking.
         let came = within(limit, known.wait_for(|known| *known >= wanted)).await;
         log::info!(
@@ -104,19 +104,19 @@
 
     /// Whether enough is known to send a request somewhere.
     fn knows_fleet(&self) -> bool {
-        is_enough(&self.view.borrow(), self.settings.process.evacuates)
+        is_enough(&self.fleet.view.borrow(), self.settings.process.evacuates)
     }
 
     /// Lets queued requests go on once enough is known.
     pub(super) fn announce_fleet_known(&self) {
         let known = if self.knows_fleet() {
             FleetKnowledge::Fleet
-        } else if self.index.borrow().is_some() {
+        } else if self.fleet.index.borrow().is_some() {
             FleetKnowledge::Configuration
         } else {
             FleetKnowledge::Nothing
         };
-        self.fleet_known.send_if_modified(|before| {
+        self.fleet.knowledge.send_if_modified(|before| {
             let is_more = known > *before;
             *before = known.max(*before);
             is_more
--- a/crates/cluster/src/edge/storage_links.rs
+++ b/crates/cluster/src/edge/storage_links.rs
@@ -15,6 +15,7 @@
 use brasspond_metering::WindowNumber;
 use brasspond_quarantine::CasesUpdate;
 use brasspond_units::WallMillis;
+use std::cell::Cell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -75,6 +76,10 @@
     /// last chosen by.
     reader: Option<SocketAddr>,
     dialed_reader: Option<SocketAddr>,
+    /// Until when results are read at the leader only, in ms.
+    reader_paused_until: u64,
+    /// A message to the leader was lost: all is to be sent again.
+    pub has_lost_message: Cell<bool>,
 }
 
 impl StorageLinks {
@@ -100,6 +105,8 @@
             view_wanted: None,
             reader: None,
             dialed_reader: None,
+            reader_paused_until: 0,
+            has_lost_message: Cell::new(false),
         }
     }
 
@@ -132,8 +139,16 @@
         is_known.then(|| members.all(|member| regions.allows(member.region.as_deref())))
     }
 
-    /// Where results are read, if not at the leader.
-    pub(super) fn reader(&self) -> Option<Reader> {
+    /// Results are read at the leader only until a moment, in ms.
+    pub(super) fn pause_reader(&mut self, until: u64) {
+        self.reader_paused_until = until;
+    }
+
+    /// Where results are read at `now`, if not at the leader.
+    pub(super) fn reader(&self, now: u64) -> Option<Reader> {
+        if now < self.reader_paused_until {
+            return None;
+        }
         let address = self.reader?;
         let mut links = self.links.iter();
         let (link, state) = links.find(|(_, state)| state.address == address)?;
--- a/crates/cluster/src/edge/usage.rs
+++ b/crates/cluster/src/edge/usage.rs
@@ -1,51 +1,73 @@
-//! Requests of tenants that replicas began to run, counted and told to the leader.
+//! Requests of tenants that replicas began to run, counted and reported to the leader.
 //!
 //! A request counts once, in the window in which it was sent to the replica that may
 //! have begun it (streams: in which their first event came). One that certainly did
 //! not run counts nowhere.
+//!
+//! Owns the recorder of this edge's usage and the leader's clock, as known here.
 
 use super::forward::Forwarded;
 use super::process::Edge;
 use brasspond_cluster_protocol::Message;
-use brasspond_metering::WindowNumber;
+use brasspond_metering::{LeaderClock, UsageRecorder, WindowNumber};
 use brasspond_units::WallMillis;
+use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
 
+/// What tenants used here, for the leader.
+pub(super) struct UsageReporter {
+    /// None where usage is not metered.
+    recorder: RefCell<Option<UsageRecorder>>,
+    leader_clock: RefCell<LeaderClock>,
+}
+
+impl UsageReporter {
+    pub fn new(recorder: Option<UsageRecorder>) -> Self {
+        Self {
+            recorder: RefCell::new(recorder),
+            leader_clock: RefCell::default(),
+        }
+    }
+}
+
 impl Edge {
-    /// True time, as far as a leader told it.
+    /// True time, as far as a leader announced it.
     pub(super) fn true_time(&self) -> WallMillis {
-        let clock = self.leader_clock.borrow();
+        let clock = self.usage.leader_clock.borrow();
         clock.time(self.clock.wall(), self.clock.now())
     }
 
-    /// Takes what the leader tells of time and of closed windows.
+    /// Applies what the leader announces of time and of closed windows.
     pub(super) fn apply_time(&self, time: Option<WallMillis>, closed: Option<WindowNumber>) {
         if let Some(time) = time {
-            self.leader_clock.borrow_mut().note(time, self.clock.now());
+            self.usage
+                .leader_clock
+                .borrow_mut()
+                .note(time, self.clock.now());
         }
         if let Some(closed) = closed
-            && let Some(usage) = &mut *self.usage.borrow_mut()
+            && let Some(usage) = &mut *self.usage.recorder.borrow_mut()
         {
             usage.closed(closed);
         }
     }
 
-    /// Tells the leader what it does not know yet.
+    /// Reports to the leader what it does not know yet.
     pub(super) fn report_usage(&self) {
         if self.storage.borrow().contact.leader().is_none() {
             return;
         }
         let time = self.true_time();
-        let mut usage = self.usage.borrow_mut();
+        let mut usage = self.usage.recorder.borrow_mut();
         if let Some(report) = usage.as_mut().and_then(|usage| usage.report(time)) {
             self.send_to_leader(&Message::Usage(report));
         }
     }
 
-    /// A new leader is told everything.
+    /// Everything is to be reported to a new leader.
     pub(super) fn report_all_usage(&self) {
-        if let Some(usage) = &mut *self.usage.borrow_mut() {
+        if let Some(usage) = &mut *self.usage.recorder.borrow_mut() {
             usage.tell_all();
         }
     }
@@ -68,7 +90,7 @@
         let tenant = Arc::clone(&request.tenant.as_ref()?.name);
         let edge = &request.edge;
         let time = edge.true_time();
-        let window = edge.usage.borrow_mut().as_mut()?.sent(time);
+        let window = edge.usage.recorder.borrow_mut().as_mut()?.sent(time);
         request.is_metered.set(true);
         Some(Self {
             edge: Rc::clone(edge),
@@ -86,7 +108,7 @@
     /// It begins to run only now.
     pub fn begins_now(&mut self) {
         let time = self.edge.true_time();
-        if let Some(usage) = &mut *self.edge.usage.borrow_mut() {
+        if let Some(usage) = &mut *self.edge.usage.recorder.borrow_mut() {
             usage.settled(self.window, None);
             self.window = usage.sent(time);
         }
@@ -95,7 +117,7 @@
 
 impl Drop for Metered {
     fn drop(&mut self) {
-        if let Some(usage) = &mut *self.edge.usage.borrow_mut() {
+        if let Some(usage) = &mut *self.edge.usage.recorder.borrow_mut() {
             usage.settled(self.window, self.tenant.as_ref());
         }
     }
