--- a/crates/cluster/src/edge/mod.rs
+++ b/crates/cluster/src/edge/mod.rs
@@ -1,22 +1,27 @@
 //! An edge: serves callers, forwards their requests, takes jobs, runs items.
 
 mod answers;
-mod asking;
 mod attempt;
 mod attempt_error;
 mod attempts;
 mod balance;
-mod cluster;
+mod draining;
 mod ended;
 mod evacuation;
 mod event_buffer;
+mod fleet_view;
 mod forward;
 mod front;
 mod headers;
 mod item_run;
+mod leader_contact;
+mod leader_messages;
+mod member_search;
 mod pace;
 mod passing;
+mod permits;
 mod process;
+mod questions;
 mod reader;
 mod ready;
 mod refusal;
@@ -25,9 +30,9 @@
 mod runs;
 mod scoring;
 mod starting;
+mod storage_links;
 mod stream;
 mod usage;
-mod warming;
 mod work_lease;
 
 pub use process::run;
--- a/crates/cluster/src/edge/residency.rs
+++ b/crates/cluster/src/edge/residency.rs
@@ -43,7 +43,7 @@
 }
 
 /// Whether a request whose data may be in these regions can be served; `may_hold` is what is
-/// known of the log's members for a job, see `Cluster::may_hold`.
+/// known of the log's members for a job, see `StorageLinks::may_hold`.
 ///
 /// # Errors
 /// Why it is refused.
@@ -70,7 +70,7 @@
         regions: &Regions,
     ) -> Result<(), Box<Response<Body>>> {
         let may_hold = if route.kind.is_job() {
-            self.cluster.borrow().may_hold(regions)
+            self.storage.borrow().may_hold(regions)
         } else {
             Some(true)
         };
@@ -89,12 +89,12 @@
         route: &Route,
         submission: &Submission,
     ) -> Result<(), RegionRefusal> {
-        let Some(configuration) = self.view.borrow().configuration.clone() else {
+        let Some(configuration) = self.fleet.view.borrow().configuration.clone() else {
             return Ok(());
         };
         let tenant = submission.tenant.as_deref();
         let regions = regions_of_bodies(&configuration, route, tenant, &submission.items);
-        let may_hold = self.cluster.borrow().may_hold(&regions);
+        let may_hold = self.storage.borrow().may_hold(&regions);
         check(&regions, may_hold)
     }
 
@@ -105,7 +105,7 @@
         route: &Route,
         outside: RegionRefusal,
     ) -> Response<Body> {
-        let configuration = self.view.borrow().configuration_revision;
+        let configuration = self.fleet.view.borrow().configuration_revision;
         log::info!(
             "event=request_refused request={id} route={} reason={} configuration={configuration}",
             route.name,
--- /dev/null
+++ b/crates/cluster/src/edge/storage_links.rs
@@ -0,0 +1,408 @@
+//! An edge's links to storage processes, and its questions to them.
+//!
+//! Owns the links, the members that they go to, the questions under way, the work lease and the
+//! contact with the leader. A message becomes a [`LinkAction`] for the event loop.
+
+use super::leader_contact::LeaderContact;
+use super::reader;
+use super::work_lease::WorkLease;
+use crate::link::{LinkContext, LinkEvent, LinkId, Writer, dial};
+use brasspond_cluster_protocol::{
+    Answer, AttemptId, Message, Peer, Question, Registration, RunSpec, ScoringSpec,
+};
+use brasspond_consensus::Member;
+use brasspond_fleet::{FleetView, Regions, ViewDelta};
+use brasspond_metering::WindowNumber;
+use brasspond_quarantine::CasesUpdate;
+use brasspond_units::WallMillis;
+use std::cell::Cell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::AbortHandle;
+
+/// Pause between two requests for a whole view, in ms: one may be several hundred KB. Not measured.
+const VIEW_REQUEST_PAUSE_MS: u64 = 500;
+
+/// A storage process that may answer reads of results.
+pub(super) struct Reader {
+    pub link: LinkId,
+    pub writer: Writer,
+}
+
+struct LinkState {
+    writer: Writer,
+    address: SocketAddr,
+}
+
+/// What the event loop is to do for a message.
+pub(super) enum LinkAction {
+    NewLeader(u64),
+    /// The leader of this term does not know this edge's runs.
+    RegisterRuns(u64),
+    /// True time, and the newest usage window that is closed.
+    Time(Option<WallMillis>, Option<WindowNumber>),
+    View(FleetView),
+    ViewChanged(ViewDelta, LinkId),
+    Run(Box<RunSpec>),
+    Score(Box<ScoringSpec>),
+    Cancel(u64, AttemptId),
+    Recorded(AttemptId),
+    Quarantine(CasesUpdate),
+}
+
+/// Links to storage processes, and what is under way on them.
+pub(super) struct StorageLinks {
+    hello: Peer,
+    events: mpsc::Sender<LinkEvent>,
+    context: Rc<LinkContext>,
+    dialers: HashMap<SocketAddr, AbortHandle>,
+    links: HashMap<LinkId, LinkState>,
+    members: Vec<Member>,
+    /// Others that are sent the log.
+    standbys: Vec<Member>,
+    pub contact: LeaderContact,
+    /// Questions under way by their numbers, with the link that each went over.
+    asked: HashMap<u64, (LinkId, oneshot::Sender<Answer>)>,
+    next_number: u64,
+    /// The lease to begin work, and the registration of runs that it is for.
+    lease: WorkLease,
+    /// When a whole view was last asked for, in ms.
+    view_asked_at: u64,
+    /// The link on which a whole view is to be asked for, a little later.
+    view_wanted: Option<LinkId>,
+    /// The storage process at which results are read, and the one that links were
+    /// last chosen by.
+    reader: Option<SocketAddr>,
+    dialed_reader: Option<SocketAddr>,
+    /// Until when results are read at the leader only, in ms.
+    reader_paused_until: u64,
+    /// A message to the leader was lost: all is to be sent again.
+    pub has_lost_message: Cell<bool>,
+}
+
+impl StorageLinks {
+    pub fn new(
+        hello: Peer,
+        may_bootstrap: bool,
+        events: mpsc::Sender<LinkEvent>,
+        context: Rc<LinkContext>,
+    ) -> Self {
+        Self {
+            hello,
+            events,
+            context,
+            dialers: HashMap::new(),
+            links: HashMap::new(),
+            members: Vec::new(),
+            standbys: Vec::new(),
+            contact: LeaderContact::new(may_bootstrap),
+            asked: HashMap::new(),
+            next_number: 0,
+            lease: WorkLease::default(),
+            view_asked_at: 0,
+            view_wanted: None,
+            reader: None,
+            dialed_reader: None,
+            reader_paused_until: 0,
+            has_lost_message: Cell::new(false),
+        }
+    }
+
+    /// Chooses the storage process at which this edge reads results.
+    fn choose_reader(&mut self, members: &[Member], standbys: &[Member]) {
+        let chosen = reader::choose(&self.context, &self.hello, members, standbys);
+        if let Some(chosen) = chosen
+            && self.reader != Some(chosen.address)
+        {
+            let distance = self.context.distance_of(&Peer::Storage(chosen.clone()));
+            log::info!(
+                "event=reader_chosen machine={} distance={} members={} standbys={}",
+                chosen.machine,
+                distance.name(),
+                members.len(),
+                standbys.len()
+            );
+        }
+        self.reader = chosen.map(|member| member.address);
+    }
+
+    /// Whether the log's members may hold data that is bound to these regions; none: no
+    /// leader announced them yet.
+    pub(super) fn may_hold(&self, regions: &Regions) -> Option<bool> {
+        if !regions.is_bound() {
+            return Some(true);
+        }
+        let mut members = self.members.iter().chain(&self.standbys);
+        let is_known = self.contact.newest_term() > 0 && !self.members.is_empty();
+        is_known.then(|| members.all(|member| regions.allows(member.region.as_deref())))
+    }
+
+    /// Results are read at the leader only until a moment, in ms.
+    pub(super) fn pause_reader(&mut self, until: u64) {
+        self.reader_paused_until = until;
+    }
+
+    /// Where results are read at `now`, if not at the leader.
+    pub(super) fn reader(&self, now: u64) -> Option<Reader> {
+        if now < self.reader_paused_until {
+            return None;
+        }
+        let address = self.reader?;
+        let mut links = self.links.iter();
+        let (link, state) = links.find(|(_, state)| state.address == address)?;
+        let is_leader = self
+            .contact
+            .leader()
+            .is_some_and(|leader| leader.link == *link);
+        (!is_leader).then(|| Reader {
+            link: *link,
+            writer: state.writer.clone(),
+        })
+    }
+
+    /// Connects to these storage processes and to the reader, and to no others.
+    pub fn set_members(&mut self, members: Vec<Member>) {
+        if let Some(reader) = self.reader {
+            self.dial_to(reader);
+        }
+        if members.is_empty() || (members == self.members && self.reader == self.dialed_reader) {
+            return;
+        }
+        self.dialed_reader = self.reader;
+        let reader = self.reader;
+        let stays = |address: &SocketAddr| {
+            let is_member = members.iter().any(|member| member.address == *address);
+            is_member || reader == Some(*address)
+        };
+        self.dialers.retain(|address, task| {
+            let stays = stays(address);
+            if !stays {
+                task.abort();
+            }
+            stays
+        });
+        let links = &self.links;
+        let kept: Vec<LinkId> = links
+            .iter()
+            .filter(|(_, state)| stays(&state.address))
+            .map(|(link, _)| *link)
+            .collect();
+        self.links.retain(|link, _| kept.contains(link));
+        for member in &members {
+            self.dial_to(member.address);
+        }
+        self.members = members;
+    }
+
+    /// Keeps a link to an address up, if there is none yet.
+    pub fn dial_to(&mut self, address: SocketAddr) {
+        if self.dialers.contains_key(&address) {
+            return;
+        }
+        let dialing = dial(
+            address,
+            self.hello.clone(),
+            Rc::clone(&self.context),
+            self.events.clone(),
+        );
+        let task = tokio::task::spawn_local(dialing);
+        self.dialers.insert(address, task.abort_handle());
+    }
+
+    /// Applies what happened on a link; what the event loop is to do for it.
+    pub fn on_link(&mut self, event: LinkEvent, now: u64) -> Vec<LinkAction> {
+        match event {
+            LinkEvent::Up {
+                link,
+                writer,
+                address,
+                ..
+            } => {
+                self.links.insert(link, LinkState { writer, address });
+                Vec::new()
+            }
+            LinkEvent::Message { link, message } => self.on_message(link, message, now),
+            LinkEvent::Down { link, .. } => {
+                self.links.remove(&link);
+                self.contact.observe_down(link);
+                self.asked.retain(|_, (asked, _)| *asked != link);
+                Vec::new()
+            }
+            LinkEvent::Refused { .. } => Vec::new(),
+        }
+    }
+
+    fn on_message(&mut self, link: LinkId, message: Message, now: u64) -> Vec<LinkAction> {
+        match message {
+            Message::Leading {
+                term,
+                members,
+                standbys,
+                watch,
+                time,
+                is_busy,
+                closed_window,
+            } => {
+                if term < self.contact.newest_term() {
+                    return Vec::new();
+                }
+                self.contact.observe_term(term, watch);
+                brasspond_compression::pause_packing(is_busy);
+                let mut actions = self.on_leading(link, members, standbys, now);
+                actions.push(LinkAction::Time(time, closed_window));
+                actions
+            }
+            Message::View(view) => vec![LinkAction::View(view)],
+            Message::ViewChanged(delta) => vec![LinkAction::ViewChanged(delta, link)],
+            Message::Registered(registration) => self.on_registered(link, registration, now),
+            Message::Run { registration, spec } if self.is_current(registration, spec.attempt) => {
+                vec![LinkAction::Run(spec)]
+            }
+            Message::Score { registration, spec }
+                if self.is_current(registration, spec.attempt) =>
+            {
+                vec![LinkAction::Score(spec)]
+            }
+            Message::Cancel { term, attempt } => vec![LinkAction::Cancel(term, attempt)],
+            Message::Recorded { attempt } => vec![LinkAction::Recorded(attempt)],
+            Message::Quarantine(update) => vec![LinkAction::Quarantine(update)],
+            Message::Reply { number, answer } => {
+                if let Some((_, asker)) = self.asked.remove(&number) {
+                    // Whoever asked may have given up.
+                    let _ = asker.send(answer);
+                }
+                Vec::new()
+            }
+            Message::Ask {
+                number,
+                question: Question::Members,
+            } => {
+                let answer = Answer::Members(self.members.clone());
+                if let Some(state) = self.links.get(&link) {
+                    state.writer.send(&Message::Reply { number, answer });
+                }
+                Vec::new()
+            }
+            // Orders that are void, greetings, and what only leaders and members are sent.
+            _ => Vec::new(),
+        }
+    }
+
+    /// The leader of the newest term announced the members.
+    fn on_leading(
+        &mut self,
+        link: LinkId,
+        members: Vec<Member>,
+        standbys: Vec<Member>,
+        now: u64,
+    ) -> Vec<LinkAction> {
+        let Some(writer) = self.links.get(&link).map(|state| state.writer.clone()) else {
+            return Vec::new();
+        };
+        let is_new = self.contact.observe_leader(link, writer, now);
+        self.choose_reader(&members, &standbys);
+        self.standbys = standbys;
+        self.set_members(members);
+        if is_new {
+            vec![LinkAction::NewLeader(self.contact.newest_term())]
+        } else {
+            Vec::new()
+        }
+    }
+
+    /// The registration that the leader knows, with the lease; none: it knows no runs of this edge.
+    fn on_registered(
+        &mut self,
+        link: LinkId,
+        registration: Option<Registration>,
+        now: u64,
+    ) -> Vec<LinkAction> {
+        let leader = self.contact.leader();
+        let Some(leader) = leader.filter(|leader| leader.link == link) else {
+            return Vec::new();
+        };
+        if self.lease.renew(registration, now) {
+            return Vec::new();
+        }
+        log::info!(
+            "event=runs_told_again reason=not_registered term={} telling={}",
+            leader.term,
+            self.lease.registration()
+        );
+        vec![LinkAction::RegisterRuns(leader.term)]
+    }
+
+    /// Whether an order is of a leader that knows the newest registration of runs. One that was
+    /// under way when this edge registered its runs is on no list of that leader: it has given the
+    /// run up, and would never end it, also once the job has ended.
+    fn is_current(&self, registration: u64, attempt: AttemptId) -> bool {
+        let is_current = registration == self.lease.registration();
+        if !is_current {
+            log::info!(
+                "event=order_refused attempt={attempt} reason=older_telling telling={registration} newest={}",
+                self.lease.registration()
+            );
+        }
+        is_current
+    }
+
+    /// Numbers a registration of all runs; orders given before it are void.
+    pub(super) fn begin_registration(&mut self, now: u64) -> u64 {
+        self.lease.begin_registration(now)
+    }
+
+    /// The lease to begin work.
+    pub(super) fn lease(&self) -> &WorkLease {
+        &self.lease
+    }
+
+    /// What is due at `now`, in ms; `wall` is the machine's time of day.
+    pub fn tick(&mut self, wall: WallMillis, now: u64) {
+        if let Some(link) = self.view_wanted {
+            self.request_view(link, now);
+        }
+        self.contact.tick(wall, now);
+    }
+
+    /// Sends a question on a link; its answer, or none: the link's queue did not take it.
+    pub(super) fn ask(
+        &mut self,
+        link: LinkId,
+        writer: &Writer,
+        question: Question,
+    ) -> Option<oneshot::Receiver<Answer>> {
+        self.next_number += 1;
+        let number = self.next_number;
+        let (sender, receiver) = oneshot::channel();
+        let message = Message::Ask { number, question };
+        if !writer.send(&message) {
+            return None;
+        }
+        self.asked.insert(number, (link, sender));
+        Some(receiver)
+    }
+
+    /// Asks for a whole view, a little later where one was asked for a moment ago.
+    pub(super) fn request_view(&mut self, link: LinkId, now: u64) {
+        if now < self.view_asked_at + VIEW_REQUEST_PAUSE_MS {
+            self.view_wanted = Some(link);
+            return;
+        }
+        self.view_asked_at = now;
+        self.view_wanted = None;
+        if let Some(state) = self.links.get(&link) {
+            state.writer.send(&Message::NeedView);
+        }
+    }
+
+    /// Addresses of all links.
+    pub(super) fn known_peers(&self) -> Vec<SocketAddr> {
+        self.links.values().map(|state| state.address).collect()
+    }
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/storage_links.rs"]
+mod tests;
