--- a/standalone/control/src/claims.rs
+++ b/standalone/control/src/claims.rs
@@ -18,7 +18,8 @@
 
 /// Name of the one object that lists the voters.
 const OBJECT_NAME: &str = "claims";
-/// Time between two looks at whether the voters are still there.
+/// Time between two checks whether the voters are still there; a dead one is noticed in 2 to 4
+/// s anyway.
 const REVIEW_PERIOD: Duration = Duration::from_secs(1);
 
 /// State of non-repeatable requests at one node.
--- a/standalone/control/src/context.rs
+++ b/standalone/control/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of the decisions may look at and ask for.
+//! What every part of the decisions may read and order.
 
 use crate::event::{Action, Reply, RequestId};
 use crate::parameters::Parameters;
--- a/standalone/control/src/control.rs
+++ b/standalone/control/src/control.rs
@@ -12,8 +12,9 @@
 use crate::versions::Versions;
 use crate::writes::Writes;
 use brasspond_dissemination::{self as dissemination, Readiness, Replica};
+use brasspond_idempotency::ClaimKey;
 use brasspond_membership::{self as membership, Member, MemberState, Membership};
-use brasspond_protocol::{AdmissionMessage, Envelope, PeerMessage, Sender};
+use brasspond_protocol::{AdmissionMessage, Envelope, PeerMessage, Sender, StepRequest};
 use brasspond_resource::{Catalogue, Revision};
 use brasspond_routing::{EngineTable, estimate_tokens, prefix_hashes};
 use brasspond_types::{Mutation, NodeName, Timestamp, WeightVersion};
@@ -23,9 +24,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two rounds of questions to peers while a node starts.
+/// Time between two rounds of questions to peers while a node starts: longer than a round trip
+/// between regions (40 ms), so that answers come between two rounds.
 const ASK_REVISION_PERIOD: Duration = Duration::from_millis(300);
-/// When a caller that is refused because the node is not ready may come back.
+/// When a caller that is refused because the node is not ready may come back; not measured.
 const NOT_READY_RETRY: Duration = Duration::from_secs(1);
 
 /// Everything one node decides.
@@ -139,7 +141,7 @@
         self.replica.revision()
     }
 
-    /// State of the fleet as last heard.
+    /// State of the fleet as last announced.
     pub fn fleet(&self) -> FleetStatus {
         self.fleet.status()
     }
@@ -187,13 +189,13 @@
     /// Handles an event and returns what has to be done.
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         self.dispatch(event, now);
-        self.settle(now);
+        self.handle_internal(now);
         std::mem::take(&mut self.actions)
     }
 
     /// Handles messages to this node itself, and ends of generations, until
     /// nothing is left.
-    fn settle(&mut self, now: Timestamp) {
+    fn handle_internal(&mut self, now: Timestamp) {
         loop {
             for end in self.generations.take_ended() {
                 self.generation_ended(end, now);
@@ -225,24 +227,8 @@
                 self.generations
                     .attempt(attempt, update, &mut self.engines, context);
             }),
-            Event::Step { request, body } => {
-                if self.is_ready() || self.draining {
-                    with_context!(self, now, |context| self
-                        .steps
-                        .begin(request, body, context));
-                } else {
-                    self.refuse_not_ready(request, now);
-                }
-            }
-            Event::Once { request, key } => {
-                if self.is_ready() {
-                    with_context!(self, now, |context| self
-                        .claims
-                        .begin(request, key, context));
-                } else {
-                    self.refuse_not_ready(request, now);
-                }
-            }
+            Event::Step { request, body } => self.begin_step(request, body, now),
+            Event::Once { request, key } => self.begin_claim(request, key, now),
             Event::OnceDone { request, outcome } => with_context!(self, now, |context| {
                 self.claims.done(request, outcome, context);
             }),
@@ -278,6 +264,27 @@
         }
     }
 
+    /// A draining node still answers for the steps that it hands over.
+    fn begin_step(&mut self, request: RequestId, body: StepRequest, now: Timestamp) {
+        if !self.is_ready() && !self.draining {
+            self.refuse_not_ready(request, now);
+            return;
+        }
+        with_context!(self, now, |context| self
+            .steps
+            .begin(request, body, context));
+    }
+
+    fn begin_claim(&mut self, request: RequestId, key: ClaimKey, now: Timestamp) {
+        if !self.is_ready() {
+            self.refuse_not_ready(request, now);
+            return;
+        }
+        with_context!(self, now, |context| self
+            .claims
+            .begin(request, key, context));
+    }
+
     fn refuse_not_ready(&mut self, request: RequestId, now: Timestamp) {
         let refusal = Refusal {
             kind: RefusalKind::NotReady,
@@ -418,8 +425,12 @@
             if is_to_owner {
                 self.owners.handle(sender, message, context);
             } else {
-                self.generations
-                    .hear(message, &mut self.engines, &mut self.owners, context);
+                self.generations.handle_owner(
+                    message,
+                    &mut self.engines,
+                    &mut self.owners,
+                    context,
+                );
             }
         });
     }
--- a/standalone/control/src/control/configuration.rs
+++ b/standalone/control/src/control/configuration.rs
@@ -132,9 +132,9 @@
             }
         }
         // A zone of its own must not mistake itself for the whole fleet.
-        let is_alone = self.membership.knows_all_seeds() && !self.has_elsewhere();
-        if peers.is_empty() || self.confirmed || is_alone {
-            let sees_zones = is_alone || self.has_elsewhere();
+        let is_only_node = self.membership.knows_all_seeds() && !self.has_elsewhere();
+        if peers.is_empty() || self.confirmed || is_only_node {
+            let sees_zones = is_only_node || self.has_elsewhere();
             let is_synchronised = self.membership.is_synchronised() && sees_zones;
             self.readiness
                 .update(self.replica.revision(), is_synchronised, &peers);
--- a/standalone/control/src/event.rs
+++ b/standalone/control/src/event.rs
@@ -62,7 +62,7 @@
     Lost,
 }
 
-/// What the store client tells.
+/// What the store client reports.
 #[derive(Clone, Debug)]
 pub enum StoreEvent {
     /// All objects.
@@ -118,7 +118,7 @@
 pub enum Event {
     /// Time passed.
     Tick,
-    /// The node was told to stop.
+    /// The node is ordered to stop.
     Drain,
     /// A peer sent a message.
     Peer(Box<Envelope>),
@@ -177,7 +177,7 @@
         /// The answer.
         outcome: OrderOutcome,
     },
-    /// The store client has something to tell.
+    /// The store client reports something.
     Store(StoreEvent),
     /// An operator writes a resource.
     Write {
--- a/standalone/control/src/fleet.rs
+++ b/standalone/control/src/fleet.rs
@@ -1,4 +1,4 @@
-//! State of the fleet: every node reports to one, which tells all.
+//! State of the fleet: every node reports to one, which announces a summary to all.
 
 use crate::context::Context;
 use crate::owner_table::OwnerTable;
@@ -10,11 +10,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two reports of a node whose configuration did not change.
+/// Time between two reports of a node whose configuration did not change; not measured apart,
+/// part of the bound of 6 KB/s of control a node (docs/MEASUREMENTS.md).
 const REPORT_PERIOD: Duration = Duration::from_secs(3);
-/// Time between two summaries.
+/// Time between two summaries; not measured apart, as the period of reports.
 const SUMMARY_PERIOD: Duration = Duration::from_secs(2);
-/// Age beyond which a report does not count.
+/// Age beyond which a report does not count: five periods of reports, so that lost ones do no
+/// harm.
 const REPORT_AGE: Duration = Duration::from_secs(15);
 
 #[derive(Debug)]
--- a/standalone/control/src/generation.rs
+++ b/standalone/control/src/generation.rs
@@ -18,29 +18,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which an unanswered request for a place is repeated.
+/// Time after which an unanswered request for a place is repeated; not measured.
 const RESEND_UNANSWERED: Duration = Duration::from_millis(300);
-/// Time after which a queued request asks whether it is still queued.
+/// Time after which a queued request asks whether it is still queued: its owner may have ended,
+/// which membership notices in 2 to 4 s.
 const RESEND_QUEUED: Duration = Duration::from_secs(3);
-/// Repeats without an answer after which another engine is tried.
+/// Repeats without an answer after which another engine is tried: 1.2 s with
+/// `RESEND_UNANSWERED`; not measured.
 const MOST_UNANSWERED: u32 = 4;
-/// Time between repeats of a release.
+/// Time between repeats of a release; not measured.
 const RESEND_RELEASE: Duration = Duration::from_millis(500);
-/// Repeats of a release after which the owner is taken to be gone.
+/// Repeats of a release after which the owner is considered gone: 5 s with `RESEND_RELEASE`,
+/// longer than membership needs to notice it (2 to 4 s).
 const MOST_RELEASES: u32 = 10;
-/// Engines remembered as tried in vain.
+/// Engines remembered as tried in vain; as many as a caller's request may fail on
+/// (`MOST_FAILURES`).
 const MOST_AVOIDED: usize = 4;
-/// Failures of a caller's request after which it is refused.
+/// Failures of a caller's request after which it is refused; not measured.
 const MOST_FAILURES: u32 = 4;
-/// Cost of a prompt token relative to a generated one.
+/// Cost of a prompt token relative to a generated one, for fair shares; not measured.
 const PROMPT_COST: f64 = 0.1;
-/// Share of requests that may be retries, and retries a second allowed anyway.
+/// Part of the requests that may be retries (design note 0008).
 const RETRY_RATIO: f64 = 0.1;
+/// Retries a second that are allowed whatever the number of requests (design note 0008).
 const RETRY_MINIMUM: f64 = 2.0;
+/// Time over which requests and retries are counted; not measured.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// How much better another node's engine must be for a caller's request: these
-/// are many and short, while slots are few, long and placed by one node.
+/// Part of the decoding time by which another node's engine must be better for a caller's
+/// request: these are many and short, while slots are few, long and placed by one node. A fifth
+/// brought control at 390 nodes from 7,656 to 1,644 B/s (docs/MEASUREMENTS.md).
 const CALLER_OWN_PREFERENCE: f64 = 0.2;
+/// Pause before a request for which no engine was found is placed again; not measured.
 const PLACING_BACKOFF: Backoff = Backoff {
     base: Duration::from_millis(20),
     cap: Duration::from_millis(1_000),
--- a/standalone/control/src/generation/admission.rs
+++ b/standalone/control/src/generation/admission.rs
@@ -100,8 +100,8 @@
         context.send(&owner, PeerMessage::Admission(enqueue));
     }
 
-    /// Handles an owner's answer.
-    pub(crate) fn hear(
+    /// Handles a message of an owner.
+    pub(crate) fn handle_owner(
         &mut self,
         message: &AdmissionMessage,
         engines: &mut EngineTable,
@@ -131,8 +131,20 @@
             AdmissionMessage::Queued { ticket, .. }
             | AdmissionMessage::Granted { ticket, .. }
             | AdmissionMessage::Refused { ticket, .. } => *ticket,
-            _ => return,
+            AdmissionMessage::Enqueue { .. } | AdmissionMessage::Release { .. } => return,
         };
+        self.answered(ticket, message, engines, owners, context);
+    }
+
+    /// Handles an owner's answer to a request that waits for its place.
+    fn answered(
+        &mut self,
+        ticket: u64,
+        message: &AdmissionMessage,
+        engines: &mut EngineTable,
+        owners: &mut OwnerTable,
+        context: &mut Context<'_>,
+    ) {
         let Some(id) = self.by_ticket.get(&ticket).copied() else {
             return;
         };
--- a/standalone/control/src/owner.rs
+++ b/standalone/control/src/owner.rs
@@ -15,29 +15,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time after which an unanswered order is given again.
+/// Time after which an unanswered order is given again; not measured.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two claims that were fenced off; long enough for membership
-/// to settle who owns the engine.
+/// Pause between two claims that were fenced off: long enough for membership to agree on who
+/// owns the engine (2 to 4 s).
 const CLAIM_BACKOFF: Backoff = Backoff {
     base: Duration::from_secs(1),
     cap: Duration::from_secs(4),
 };
-/// Time between two tries to get weights from a busy source.
+/// Time between two attempts to get weights from a busy source; not measured.
 const LOAD_RETRY: Duration = Duration::from_millis(120);
-/// Tries with one source of weights before the next one is asked.
+/// Attempts with one source of weights before the next one is asked: 4.8 s with `LOAD_RETRY`,
+/// longer than a load of all engines takes (3.95 s, docs/MEASUREMENTS.md).
 pub(crate) const TRIES_PER_ANCESTOR: u32 = 40;
-/// Time after a take-over in which the engine's own count of requests is
-/// believed over this node's, since places were given by another node.
+/// Time after a take-over in which the engine's own count of requests is believed over this
+/// node's, since places were given by another node; not measured.
 const TAKE_OVER: Duration = Duration::from_secs(60);
-/// Time after which the holder of a place is asked whether it still holds it;
-/// releases may go to another owner while the network is parted.
+/// Time after which the holder of a place is asked whether it still holds it: releases may go
+/// to another owner while the network is parted; not measured.
 const PROBE_PERIOD: Duration = Duration::from_secs(10);
-/// Smallest concurrency limit.
+/// Smallest concurrency limit: an engine is never closed by its limit alone.
 const LOWEST_LIMIT: u32 = 1;
-/// Queue length without a pool's own bound.
+/// Queue length without a pool's own bound; not measured.
 const DEFAULT_QUEUE_BOUND: usize = 4_096;
-/// Part of the pool's excess that one correction moves a group's counter by.
+/// Part of the pool's excess that one correction moves a group's counter by; not measured.
 const FAIRNESS_GAIN: f64 = 0.5;
 
 /// Identity of one place in a queue.
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Load as told to the askers.
+    /// Load as announced to the nodes that ask for places.
     pub(crate) fn load(&self) -> EngineLoad {
         let running: f32 = self.grants.values().map(|grant| grant.cost).sum();
         let awaiting: f64 = self
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Whether the engine may be given work: it follows this node, told so
-    /// lately, and is not leaving.
+    /// Whether the engine may be given work: it follows this node, reported
+    /// so lately, and is not leaving.
     fn takes_work(&self, is_leaving: bool, context: &Context<'_>) -> bool {
         let age = context.now.since(self.report_asked);
         let is_fresh = age <= context.parameters.report_age_limit;
@@ -212,22 +213,14 @@
         };
         let ticket = &TicketId::new(sender, *ticket);
         if self.grants.contains_key(ticket) {
-            if self.takes_work(is_leaving, context) {
-                self.tell_granted(ticket, *asked_at, context);
-            } else {
-                self.grants.remove(ticket);
-                self.refuse(ticket, RefusalReason::EngineUnavailable, context);
-            }
+            self.repeat_grant(ticket, *asked_at, is_leaving, context);
             return;
         }
         if is_leaving || self.says_leaving(context) {
             self.refuse(ticket, RefusalReason::EngineUnavailable, context);
             return;
         }
-        self.queue
-            .remove_if(|waiting| waiting.item.ticket == *ticket);
-        self.awaiting_version
-            .retain(|waiting| waiting.item.ticket != *ticket);
+        self.remove_waiting(ticket);
         let left = Duration::from_millis(u64::from(*milliseconds_left));
         let waiting = Waiting {
             item: Place {
@@ -258,6 +251,29 @@
         }
     }
 
+    /// Answers a repeated request for a place that was granted already.
+    fn repeat_grant(
+        &mut self,
+        ticket: &TicketId,
+        asked_at: Timestamp,
+        is_leaving: bool,
+        context: &mut Context<'_>,
+    ) {
+        if self.takes_work(is_leaving, context) {
+            self.send_granted(ticket, asked_at, context);
+        } else {
+            self.grants.remove(ticket);
+            self.refuse(ticket, RefusalReason::EngineUnavailable, context);
+        }
+    }
+
+    fn remove_waiting(&mut self, ticket: &TicketId) {
+        self.queue
+            .remove_if(|waiting| waiting.item.ticket == *ticket);
+        self.awaiting_version
+            .retain(|waiting| waiting.item.ticket != *ticket);
+    }
+
     /// Handles the end of a place; returns the group and cost served.
     pub(crate) fn release(
         &mut self,
@@ -267,10 +283,7 @@
         is_leaving: bool,
         context: &mut Context<'_>,
     ) -> Option<(GroupName, f64)> {
-        self.queue
-            .remove_if(|waiting| waiting.item.ticket == *ticket);
-        self.awaiting_version
-            .retain(|waiting| waiting.item.ticket != *ticket);
+        self.remove_waiting(ticket);
         let in_flight = self.grants.len() as u32;
         let grant = self.grants.remove(ticket)?;
         if engine_failed {
@@ -279,7 +292,8 @@
             self.limit.succeeded(in_flight);
         }
         let expected = f64::from(grant.cost);
-        self.queue.settle(&grant.group, expected, f64::from(served));
+        self.queue
+            .correct_cost(&grant.group, expected, f64::from(served));
         self.dispatch(is_leaving, context);
         Some((grant.group, f64::from(served)))
     }
@@ -307,17 +321,17 @@
                 return;
             };
             if waiting.deadline <= context.now {
-                self.queue.settle(&waiting.group, waiting.cost, 0.0);
+                self.queue.correct_cost(&waiting.group, waiting.cost, 0.0);
                 self.refuse(&waiting.item.ticket, RefusalReason::DeadlinePassed, context);
                 continue;
             }
             if !self.serves(&waiting.item) {
-                self.queue.settle(&waiting.group, waiting.cost, 0.0);
+                self.queue.correct_cost(&waiting.group, waiting.cost, 0.0);
                 self.awaiting_version.push(waiting);
                 continue;
             }
             if waiting.priority != Priority::Interactive && self.only_reserve_left(context) {
-                self.queue.settle(&waiting.group, waiting.cost, 0.0);
+                self.queue.correct_cost(&waiting.group, waiting.cost, 0.0);
                 self.queue.push(waiting);
                 return;
             }
@@ -347,10 +361,10 @@
             next_probe: context.now + PROBE_PERIOD,
         };
         self.grants.insert(ticket.clone(), grant);
-        self.tell_granted(&ticket, waiting.item.asked_at, context);
+        self.send_granted(&ticket, waiting.item.asked_at, context);
     }
 
-    fn tell_granted(&self, ticket: &TicketId, asked_at: Timestamp, context: &mut Context<'_>) {
+    fn send_granted(&self, ticket: &TicketId, asked_at: Timestamp, context: &mut Context<'_>) {
         let granted = AdmissionMessage::Granted {
             ticket: ticket.number,
             engine: self.engine.clone(),
--- a/standalone/control/src/owner_table.rs
+++ b/standalone/control/src/owner_table.rs
@@ -15,8 +15,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Tries after which a version is asked of the weight store, whatever the
-/// engine's place in the distribution tree.
+/// Tries after which a version is asked of the weight store, whatever the engine's place in the
+/// distribution tree: 24 s with `LOAD_RETRY`; not measured.
 const TRIES_BEFORE_STORE: u32 = 200;
 
 #[derive(Clone, Debug)]
@@ -145,7 +145,7 @@
         self.reassign(engines, context);
     }
 
-    /// Works out anew which engines are this node's.
+    /// Works out again which engines are this node's.
     pub(crate) fn reassign(&mut self, engines: &mut EngineTable, context: &mut Context<'_>) {
         self.owners.clear();
         let names: Vec<EngineName> = self.listed.keys().cloned().collect();
@@ -241,8 +241,8 @@
         let Some(owner) = self.mine.get_mut(engine) else {
             return;
         };
-        let settled = owner.release(ticket, served, engine_failed, is_leaving, context);
-        if let Some((group, cost)) = settled {
+        let served = owner.release(ticket, served, engine_failed, is_leaving, context);
+        if let Some((group, cost)) = served {
             self.usage.add(&group, cost);
         }
     }
@@ -353,7 +353,7 @@
     }
 
     fn load_order(&mut self, model: &ModelName, version: WeightVersion) -> &[EngineName] {
-        /// Versions whose order is remembered.
+        /// Versions whose order is remembered; not measured.
         const MOST_REMEMBERED: usize = 32;
         while self.load_order.len() > MOST_REMEMBERED {
             self.load_order.pop_first();
--- a/standalone/control/src/step_copies.rs
+++ b/standalone/control/src/step_copies.rs
@@ -8,10 +8,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between repeats of what a keeper has not acknowledged.
-const RESEND: Duration = Duration::from_millis(500);
-/// Most samples in one message.
-const BATCH: usize = 64;
+/// Time between repeats of what a keeper has not acknowledged: one probe period of the
+/// membership (0.5 s, design note 0003), by which a keeper that ended is noticed.
+const COPY_RESEND: Duration = Duration::from_millis(500);
+/// Most samples in one message to a keeper; not measured.
+const SAMPLES_PER_COPY: usize = 64;
 
 #[derive(Debug, Default)]
 struct Keeper {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Notes that the slots under way changed, so the keepers must be told.
+    /// The slots under way changed: the keepers are sent the step again.
     pub(crate) fn mark_spec_changed(&mut self) {
         for keeper in self.keepers.values_mut() {
             keeper.spec_copied = false;
@@ -128,7 +129,8 @@
         context: &mut Context<'_>,
     ) {
         let now = context.now;
-        let is_due = |sent: Option<Timestamp>| sent.is_none_or(|sent| now.since(sent) >= RESEND);
+        let is_due =
+            |sent: Option<Timestamp>| sent.is_none_or(|sent| now.since(sent) >= COPY_RESEND);
         for (node, keeper) in &mut self.keepers {
             if !keeper.spec_copied && is_due(keeper.spec_sent) {
                 keeper.spec_sent = Some(now);
@@ -151,7 +153,7 @@
         let is_done = |slot: &u32| matches!(step.slot(*slot), Some(SlotState::Done(_)));
         self.missing.retain(is_done);
         let slots: Vec<u32> = self.missing.iter().copied().collect();
-        for batch in slots.chunks(BATCH) {
+        for batch in slots.chunks(SAMPLES_PER_COPY) {
             let samples = batch.iter().filter_map(|slot| match step.slot(*slot) {
                 Some(SlotState::Done(sample)) => Some(Arc::clone(sample)),
                 _ => None,
--- a/standalone/control/src/steps.rs
+++ b/standalone/control/src/steps.rs
@@ -18,27 +18,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nodes that hold a step: its home and the keepers of copies.
+/// Nodes that hold a step: its home and two keepers of copies, so that samples outlive two
+/// losses.
 const HOLDERS: usize = 3;
-/// Time a trainer's request is forwarded before it fails.
+/// Time a trainer's request is forwarded before it fails: longer than membership needs to
+/// notice a home that ended (2 to 4 s).
 const FORWARD_LIMIT: Duration = Duration::from_secs(5);
-/// Time between repeats of a forwarded request.
+/// Time between repeats of a forwarded request; not measured.
 const FORWARD_RESEND: Duration = Duration::from_millis(400);
-/// Time a closed step is remembered, so that no late copy revives it.
+/// Time a closed step is remembered, so that no late copy revives it; not measured.
 const REMEMBER_CLOSED: Duration = Duration::from_secs(600);
-/// Part of a step's slots, at the end, that count as its tail.
+/// Part of a step's slots, at the end, that count as its tail; not measured.
 const TAIL_PART: f64 = 0.1;
-/// Deadline of a slot's place in a queue; it is asked for again after.
+/// Deadline of a slot's place in a queue; it is asked for again after. Beyond the 31 minutes of
+/// a whole step.
 const SLOT_TIME: Duration = Duration::from_secs(3_600);
-/// Fewest queued slots a step.
+/// Fewest queued slots a step, however few engines there are; not measured.
 const SMALLEST_WINDOW: usize = 8;
-/// Expected time of a decoding step, to guess how long an answer takes.
+/// Expected time of a decoding step, to estimate how long an answer takes:
+/// `SpeedEstimate::default` with 25 sequences in the batch.
 const TOKEN_TIME: Duration = Duration::from_micros(9_500);
-/// Time between two messages of a former home on what it has under way.
+/// Time between two reports of a former home on what it has under way; not measured.
 const UNDER_WAY_PERIOD: Duration = Duration::from_secs(2);
-/// Time without such a message after which the home makes the slots itself.
+/// Time without such a report after which the home makes the slots itself: three periods.
 const UNDER_WAY_LIMIT: Duration = Duration::from_secs(6);
-/// Most samples in one hand-over.
+/// Most samples in one answer to a trainer; not measured.
 const MOST_SAMPLES: u32 = 256;
 
 #[derive(Debug)]
@@ -488,7 +492,7 @@
                     entry.forget_elsewhere(context);
                     self.stale_slots += entry.follow_versions(versions, generations, context);
                 } else {
-                    entry.tell_under_way(context);
+                    entry.report_under_way(context);
                 }
             }
             self.answer_parked(id, versions, context);
--- a/standalone/control/src/steps/entry.rs
+++ b/standalone/control/src/steps/entry.rs
@@ -47,8 +47,8 @@
         self.free_elsewhere(lost);
     }
 
-    /// Tells the home what this node, no longer the home, has under way.
-    pub(super) fn tell_under_way(&mut self, context: &mut Context<'_>) {
+    /// Reports to the home what this node, no longer the home, has under way.
+    pub(super) fn report_under_way(&mut self, context: &mut Context<'_>) {
         if self.generations.is_empty() || context.now < self.next_under_way {
             return;
         }
--- a/standalone/control/src/store_reader.rs
+++ b/standalone/control/src/store_reader.rs
@@ -7,10 +7,13 @@
 use brasspond_types::Timestamp;
 use std::time::Duration;
 
-/// Time a starting node waits for its peers before it asks the store.
+/// Time a starting node waits for its peers before it asks the store: more than three rounds of questions
+/// to them (`ASK_REVISION_PERIOD`).
 const ASK_PEERS_FIRST: Duration = Duration::from_millis(1_000);
-/// Time after which an unanswered read counts as failed.
+/// Time after which an unanswered read counts as failed: longer than the 10 s that the store
+/// client gives a watch, which then reports the failure itself.
 const READ_TIMEOUT: Duration = Duration::from_secs(15);
+/// Pause after a failed read; not measured.
 const FAILURE_BACKOFF: Backoff = Backoff {
     base: Duration::from_millis(250),
     cap: Duration::from_secs(2),
@@ -54,12 +57,12 @@
             return;
         }
         let has_peers = context.working.members.len() > 1;
-        let patience = if has_peers {
+        let wait_for_peers = if has_peers {
             ASK_PEERS_FIRST
         } else {
             Duration::ZERO
         };
-        if !is_ready && now.since(started) < patience {
+        if !is_ready && now.since(started) < wait_for_peers {
             return;
         }
         if is_ready && !context.working.reads_store {
--- a/standalone/control/src/versions.rs
+++ b/standalone/control/src/versions.rs
@@ -5,11 +5,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Weight of the newest interval in the estimate of the publication period.
+/// Weight of the newest interval in the estimate of the publication period; not measured.
 const PERIOD_SMOOTHING: f64 = 0.3;
 
-/// Part of the estimated period after which the next version may already come.
-const EARLY: f64 = 0.6;
+/// Part of the estimated period after which the next version may already come; not measured
+/// apart (docs/MEASUREMENTS.md has the figures of the rule with it).
+const EARLIEST_PART: f64 = 0.6;
 
 #[derive(Debug, Default)]
 struct Published {
@@ -89,7 +90,7 @@
         let (Some(heard), Some(period)) = (published.heard, published.period) else {
             return deliver;
         };
-        let period = (period.as_secs_f64() * EARLY).max(1e-3);
+        let period = (period.as_secs_f64() * EARLIEST_PART).max(1e-3);
         let since = now.since(heard).as_secs_f64().min(period);
         let coming = ((since + expected.as_secs_f64()) / period).floor() as u64;
         WeightVersion((deliver.0 + coming).min(published.newest.0))
--- a/standalone/control/src/writes.rs
+++ b/standalone/control/src/writes.rs
@@ -12,10 +12,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which the fate of a write is given up on.
-const GIVE_UP: Duration = Duration::from_secs(5);
-/// Time between two tries to learn the fate of a write.
-const RETRY: Duration = Duration::from_millis(300);
+/// Time after which the fate of a write is given up on and its caller is answered `unknown`;
+/// not measured.
+const FATE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time between two attempts to learn the fate of a write; not measured.
+const FATE_RETRY: Duration = Duration::from_millis(300);
 
 #[derive(Debug)]
 struct Write {
@@ -55,7 +56,7 @@
         self.under_way.values().any(|write| write.request.is_none())
     }
 
-    /// Begins a write; without a request nobody is told how it ended.
+    /// Begins a write; without a request nobody is answered how it ended.
     pub(crate) fn begin(
         &mut self,
         request: Option<RequestId>,
@@ -124,7 +125,7 @@
             }
             PutResult::Conflict | PutResult::NotSent | PutResult::Lost => {
                 write.was_lost = true;
-                write.find_at = Some(context.now + RETRY);
+                write.find_at = Some(context.now + FATE_RETRY);
             }
         }
     }
@@ -140,7 +141,7 @@
             return;
         };
         let Some(object) = object else {
-            write.find_at = Some(context.now + RETRY);
+            write.find_at = Some(context.now + FATE_RETRY);
             return;
         };
         let is_removal = matches!(write.operation, WriteOperation::Remove(_));
@@ -170,7 +171,7 @@
             let Some(write) = self.under_way.get_mut(&number) else {
                 continue;
             };
-            if context.now.since(write.started) >= GIVE_UP {
+            if context.now.since(write.started) >= FATE_TIMEOUT {
                 self.finish(number, WriteReply::Unknown, context);
                 continue;
             }
--- a/standalone/fairness/src/queue.rs
+++ b/standalone/fairness/src/queue.rs
@@ -182,7 +182,7 @@
     }
 
     /// Corrects the charge of a served request once its true cost is known.
-    pub fn settle(&mut self, group: &GroupName, expected_cost: f64, true_cost: f64) {
+    pub fn correct_cost(&mut self, group: &GroupName, expected_cost: f64, true_cost: f64) {
         if let Some(state) = self.groups.get_mut(group) {
             let correction = (true_cost - expected_cost) / state.weight;
             state.counter = (state.counter + correction).max(0.0);
