--- a/standalone/node/src/attempts.rs
+++ b/standalone/node/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions that call engines and the store.
+//! Applies the actions that call engines and the store.
 
 use crate::engine_client;
 use crate::handle::Handle;
@@ -22,9 +22,31 @@
     store: SocketAddr,
     origin: Instant,
 ) {
-    let client = Client::default();
-    let running: Running = Arc::default();
+    let effects = Effects {
+        client: Client::default(),
+        handle,
+        store,
+        origin,
+        running: Arc::default(),
+    };
     while let Some(action) = actions.recv().await {
+        effects.apply(action);
+    }
+}
+
+/// What calls of engines and of the store need.
+struct Effects {
+    client: Client,
+    handle: Handle,
+    store: SocketAddr,
+    origin: Instant,
+    running: Running,
+}
+
+impl Effects {
+    fn apply(&self, action: Action) {
+        let client = self.client.clone();
+        let handle = self.handle.clone();
         match action {
             Action::StartAttempt {
                 attempt,
@@ -37,54 +59,32 @@
                     "event=attempt_started attempt={} engine={engine}",
                     attempt.0
                 );
-                let work = engine_client::attempt(
-                    client.clone(),
-                    handle.clone(),
-                    attempt,
-                    request,
-                    address,
-                    call,
-                );
-                start(&running, attempt, work);
+                let work = engine_client::attempt(client, handle, attempt, request, address, call);
+                start(&self.running, attempt, work);
             }
             Action::CancelAttempt(attempt) => {
-                if let Some(task) = locked(&running).remove(&attempt) {
+                if let Some(task) = locked(&self.running).remove(&attempt) {
                     task.abort();
                 }
             }
             Action::PollEngine { engine, address } => {
-                let asked_at = Timestamp::from_micros(origin.elapsed().as_micros() as u64);
-                let client = client.clone();
-                tokio::spawn(engine_client::poll(
-                    client,
-                    handle.clone(),
-                    engine,
-                    address,
-                    asked_at,
-                ));
+                let elapsed = self.origin.elapsed().as_micros() as u64;
+                let asked_at = Timestamp::from_micros(elapsed);
+                let work = engine_client::poll(client, handle, engine, address, asked_at);
+                tokio::spawn(work);
             }
             Action::OrderEngine {
                 engine,
                 address,
                 order,
             } => {
-                let client = client.clone();
-                tokio::spawn(engine_client::order(
-                    client,
-                    handle.clone(),
-                    engine,
-                    address,
-                    order,
-                ));
+                let work = engine_client::order(client, handle, engine, address, order);
+                tokio::spawn(work);
             }
             Action::Store(call) => {
-                tokio::spawn(store_client::call(
-                    client.clone(),
-                    handle.clone(),
-                    store,
-                    call,
-                ));
+                tokio::spawn(store_client::call(client, handle, self.store, call));
             }
+            // These have outlets of their own (`decisions::apply`).
             Action::Send { .. } | Action::Reply { .. } | Action::InForce(_) => {}
         }
     }
--- a/standalone/node/src/completions.rs
+++ b/standalone/node/src/completions.rs
@@ -24,9 +24,9 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Tokens of an answer without a limit of the caller's own.
+/// Tokens of an answer without a limit of the caller's own; a choice of the interface.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Chunks buffered for a slow caller.
+/// Chunks buffered for a slow caller; not measured.
 const CHUNKS_BUFFERED: usize = 16;
 
 #[derive(Deserialize, Default)]
--- a/standalone/node/src/decisions.rs
+++ b/standalone/node/src/decisions.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// Time between two ticks.
+/// Time between two ticks; not measured.
 const TICK: Duration = Duration::from_millis(20);
-/// Time between two snapshots for the HTTP side when nothing changed.
+/// Time between two snapshots for the HTTP side when nothing changed; not measured.
 const VIEW_PERIOD: Duration = Duration::from_millis(200);
 
 /// Where the actions go.
@@ -26,7 +26,7 @@
     pub(crate) view: watch::Sender<Arc<View>>,
 }
 
-/// Feeds events to the decisions and carries their actions to the other
+/// Feeds events to the decisions and hands their actions to the other
 /// threads until the node ends.
 pub(crate) fn run(
     mut control: Control,
@@ -58,10 +58,11 @@
                 callers = Arc::new(callers_by_digest(control.catalogue()));
                 changed = true;
                 if let Some(disk) = &outlets.disk {
+                    // A full ring: the newer configuration that follows is kept instead.
                     let _ = disk.try_send(Arc::clone(control.catalogue()));
                 }
             }
-            carry_out(action, outlets);
+            apply(action, outlets);
         }
         if changed || Instant::now() >= next_view {
             next_view = Instant::now() + VIEW_PERIOD;
@@ -89,9 +90,9 @@
     }
 }
 
-/// Hands an action to the thread that carries it out. A message that finds
+/// Hands an action to the thread that applies it. A message that finds
 /// its ring full is dropped: every exchange between nodes repeats.
-fn carry_out(action: Action, outlets: &Outlets) {
+fn apply(action: Action, outlets: &Outlets) {
     match action {
         Action::Send {
             address, envelope, ..
@@ -101,6 +102,7 @@
         Action::Reply { request, reply } => outlets.handle.deliver(request, reply),
         Action::InForce(_) => {}
         effect => {
+            // The ring is closed only while the node ends.
             let _ = outlets.effects.blocking_send(effect);
         }
     }
--- a/standalone/node/src/engine_client.rs
+++ b/standalone/node/src/engine_client.rs
@@ -13,11 +13,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for an engine to answer a poll or an order.
+/// Time for an engine to answer a poll or an order: the age beyond which its report gives it no
+/// work (`Parameters::report_age_limit`).
 const CONTROL_TIME: Duration = Duration::from_millis(1_500);
-/// Time for the headers of an answer to arrive.
+/// Time for the headers of an answer to arrive; not measured.
 const HEADER_TIME: Duration = Duration::from_secs(10);
-/// Silence on a stream after which the engine is given up on.
+/// Silence on a stream after which the engine is given up; not measured.
 const SILENCE: Duration = Duration::from_secs(60);
 
 #[derive(Deserialize)]
@@ -56,6 +57,7 @@
             CONTROL_TIME,
         )
         .await;
+    // No report is an answer of its own: the owner counts the engine as unreachable.
     let report = answer.ok().map(Box::new);
     handle
         .send(Event::EngineReport {
@@ -115,34 +117,9 @@
     call: &EngineCall,
 ) -> AttemptUpdate {
     let mut generated = call.resume.clone();
-    let body = json!({
-        "model": call.model,
-        "prompt": format!("{}{}", call.prompt, generated.text),
-        "max_tokens": call.max_tokens,
-        "seed": call.seed,
-        "priority": call.priority,
-        "stream": true,
-        "resume_tokens": total_tokens(&generated.spans),
-        "resume_bytes": generated.text.len(),
-    });
-    let http_request = request(Method::POST, address, "/v1/completions", Some(&body));
-    let response = tokio::time::timeout(HEADER_TIME, client.send(http_request)).await;
-    let response = match response {
-        Ok(Ok(response)) if response.status().is_success() => response,
-        Ok(Ok(response)) => {
-            let not_run = is_not_begun(response).await;
-            return AttemptUpdate::Failed { generated, not_run };
-        }
-        Ok(Err(error)) => {
-            let not_run = error.is_not_sent();
-            return AttemptUpdate::Failed { generated, not_run };
-        }
-        Err(_) => {
-            return AttemptUpdate::Failed {
-                generated,
-                not_run: false,
-            };
-        }
+    let response = match begin(client, address, call).await {
+        Ok(response) => response,
+        Err(not_run) => return AttemptUpdate::Failed { generated, not_run },
     };
     let stream = caller.and_then(|caller| handle.stream(caller));
     let mut events = EventStream::new(response.into_body());
@@ -151,40 +128,31 @@
         let Ok(chunk) = serde_json::from_str::<Chunk>(&data) else {
             continue;
         };
+        let (version, tokens) = (chunk.weight_version, chunk.tokens);
         let Some(choice) = chunk.choices.into_iter().next() else {
             continue;
         };
-        if chunk.tokens > 0 && reported != Some(chunk.weight_version) {
-            reported = Some(chunk.weight_version);
-            let oldest = chunk.weight_version;
-            handle
-                .attempt(attempt, AttemptUpdate::Progress { oldest })
-                .await;
+        if tokens > 0 && reported != Some(version) {
+            reported = Some(version);
+            let update = AttemptUpdate::Progress { oldest: version };
+            handle.attempt(attempt, update).await;
         }
-        extend(
-            &mut generated,
-            chunk.weight_version,
-            chunk.tokens,
-            &choice.text,
-        );
-        generated
-            .log_probabilities
-            .extend(&choice.log_probabilities);
+        extend(&mut generated, version, tokens, &choice.text);
+        let log_probabilities = &mut generated.log_probabilities;
+        log_probabilities.extend(&choice.log_probabilities);
+        let reason = choice.finish_reason;
         if let Some(stream) = &stream {
             let piece = Piece {
                 text: choice.text,
-                version: chunk.weight_version.0,
-                tokens: chunk.tokens,
-                finish_reason: choice.finish_reason,
+                version: version.0,
+                tokens,
+                finish_reason: reason,
             };
             if stream.send(piece).await.is_err() {
-                return AttemptUpdate::Failed {
-                    generated,
-                    not_run: false,
-                };
+                break;
             }
         }
-        if let Some(reason) = choice.finish_reason {
+        if let Some(reason) = reason {
             return AttemptUpdate::Finished { generated, reason };
         }
     }
@@ -194,8 +162,38 @@
     }
 }
 
+/// Sends a request to an engine; the response whose body is the answer.
+///
+/// # Errors
+/// No answer is to come; true if the engine cannot have begun the request.
+async fn begin(
+    client: &Client,
+    address: SocketAddr,
+    call: &EngineCall,
+) -> Result<hyper::Response<hyper::body::Incoming>, bool> {
+    let resumed = &call.resume;
+    let body = json!({
+        "model": call.model,
+        "prompt": format!("{}{}", call.prompt, resumed.text),
+        "max_tokens": call.max_tokens,
+        "seed": call.seed,
+        "priority": call.priority,
+        "stream": true,
+        "resume_tokens": total_tokens(&resumed.spans),
+        "resume_bytes": resumed.text.len(),
+    });
+    let http_request = request(Method::POST, address, "/v1/completions", Some(&body));
+    match tokio::time::timeout(HEADER_TIME, client.send(http_request)).await {
+        Ok(Ok(response)) if response.status().is_success() => Ok(response),
+        Ok(Ok(response)) => Err(is_not_begun(response).await),
+        Ok(Err(error)) => Err(error.is_not_sent()),
+        Err(_too_late) => Err(false),
+    }
+}
+
 /// Whether a refusing engine says that it did not begin.
 async fn is_not_begun(response: hyper::Response<hyper::body::Incoming>) -> bool {
+    /// Longest refusal read, in bytes; not measured.
     const LONGEST_REFUSAL: usize = 64 * 1024;
     let body: Result<serde_json::Value, _> =
         brasspond_http::read_json(response.into_body(), LONGEST_REFUSAL).await;
--- a/standalone/node/src/handle.rs
+++ b/standalone/node/src/handle.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Time between tries to enter a full ring.
+/// Time between attempts to enter a full ring; not measured.
 const FULL_RING_WAIT: Duration = Duration::from_millis(1);
-/// Pieces of an answer buffered for a slow caller.
+/// Pieces of an answer buffered for a slow caller; not measured.
 const PIECES_BUFFERED: usize = 64;
 
 /// A piece of an answer on its way to a caller.
@@ -89,6 +89,7 @@
             waiting.replies.remove(&request)
         });
         if let Some(sender) = sender {
+            // The handler is gone with its caller.
             let _ = sender.send(reply);
         }
     }
--- a/standalone/node/src/lib.rs
+++ b/standalone/node/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One thread takes all decisions; others carry bytes. They are joined by
 //! bounded channels (`docs/design/0001-architecture.md`). This package
-//! assembles and carries out; it decides nothing.
+//! assembles and applies; it decides nothing.
 #![forbid(unsafe_code)]
 
 mod attempts;
--- a/standalone/node/src/peers.rs
+++ b/standalone/node/src/peers.rs
@@ -14,11 +14,11 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::{Semaphore, mpsc};
 
-/// Largest datagram the network hands over, in bytes.
+/// Largest datagram the network hands over, in bytes: the limit of UDP.
 const DATAGRAM_BUFFER: usize = 65_536;
-/// Time for a frame to be sent or received.
+/// Time for a frame to be sent or received; not measured.
 const FRAME_TIME: Duration = Duration::from_secs(10);
-/// Frames sent or received at a time.
+/// Frames sent or received at a time; not measured.
 const FRAMES_AT_A_TIME: usize = 64;
 
 /// A message to send.
@@ -44,6 +44,7 @@
 /// Binds both sockets to the same address; port 0 picks one that is free for
 /// both.
 pub(crate) async fn bind(address: SocketAddr) -> std::io::Result<Sockets> {
+    /// Ports tried until one is free for both; not measured.
     const TRIES: usize = 20;
     let mut last = std::io::Error::other("no port is free for both TCP and UDP");
     for _ in 0..TRIES {
@@ -93,6 +94,7 @@
             .fetch_add(bytes.len() as u64, Ordering::Relaxed);
         traffic.sent_messages.fetch_add(1, Ordering::Relaxed);
         if bytes.len() <= LARGEST_DATAGRAM {
+            // A lost datagram: every exchange between nodes repeats.
             let _ = sockets.datagrams.send_to(&bytes, message.address).await;
             continue;
         }
@@ -101,6 +103,7 @@
         };
         tokio::spawn(async move {
             let sending = send_frame(message.address, &bytes);
+            // A lost frame: every exchange between nodes repeats.
             let _ = tokio::time::timeout(FRAME_TIME, sending).await;
             drop(permit);
         });
@@ -175,6 +178,7 @@
 fn take(bytes: &[u8], sealer: &Sealer, events: &SyncSender<Event>, traffic: &Traffic) {
     match sealer.open(bytes) {
         Ok(envelope) => {
+            // Dropped where the ring is full, see above.
             let _ = events.try_send(Event::Peer(Box::new(envelope)));
         }
         Err(error) => {
--- a/standalone/node/src/resources.rs
+++ b/standalone/node/src/resources.rs
@@ -14,13 +14,14 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Time for the store to take a write.
+/// Time for the store to answer a write: longer than the 5 s after which its fate is given up.
 const WRITE_TIME: Duration = Duration::from_secs(10);
-/// Longest time a watch waits, in milliseconds.
+/// Longest time a watch waits, in milliseconds, as a trainer's longest wait.
 const LONGEST_WATCH: u64 = 30_000;
-/// Time between two looks at a watched kind.
+/// Time between two checks of a watched kind; not measured.
 const WATCH_STEP: Duration = Duration::from_millis(50);
-/// Received share above the declared one at which a group counts as over it.
+/// Received part above the declared one, as a ratio, at which a group counts as over its share;
+/// not measured.
 const OVER_SHARE: f64 = 1.03;
 
 /// Answers `/apis/brasspond.dev/v1/{plural}` and `.../{name}`.
--- a/standalone/node/src/service_replicas.rs
+++ b/standalone/node/src/service_replicas.rs
@@ -8,7 +8,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time a replica that refused a connection is passed over.
+/// Time a replica that refused a connection is passed over: the first ejection of an engine
+/// (design note 0004).
 const EJECTION: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
--- a/standalone/node/src/services.rs
+++ b/standalone/node/src/services.rs
@@ -18,11 +18,11 @@
 /// Header that names a non-repeatable request (IETF draft "The Idempotency-Key
 /// HTTP Header Field").
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Longest answer kept for repeats of the same key, in bytes.
+/// Longest answer kept for repeats of the same key, in bytes; not measured.
 const LONGEST_KEPT: usize = 64 * 1024;
-/// Time for the voters to decide.
+/// Time for the voters to decide; not measured.
 const CLAIM_TIME: Duration = Duration::from_secs(3);
-/// Tries to connect, each to another replica.
+/// Attempts to connect, each to another replica; not measured.
 const TRIES: usize = 3;
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1).
--- a/standalone/node/src/steps.rs
+++ b/standalone/node/src/steps.rs
@@ -15,11 +15,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Samples in one answer without a limit of the trainer's own.
+/// Samples in one answer without a limit of the trainer's own; a choice of the interface.
 const DEFAULT_COUNT: u32 = 64;
-/// Longest wait for the first sample, in milliseconds.
+/// Longest wait for the first sample, in milliseconds; a choice of the interface.
 const LONGEST_WAIT: u32 = 30_000;
-/// Time for the home to answer, beyond the trainer's wait.
+/// Time for the home to answer, beyond the trainer's wait: longer than a request is forwarded
+/// (5 s).
 const ANSWER_TIME: Duration = Duration::from_secs(10);
 
 #[derive(Deserialize)]
--- a/standalone/node/src/store_client.rs
+++ b/standalone/node/src/store_client.rs
@@ -12,9 +12,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for the store to answer a read or a write.
+/// Time for the store to answer a read or a write; not measured.
 const CALL_TIME: Duration = Duration::from_secs(3);
-/// Time for the store to answer a watch.
+/// Time for the store to answer a watch: twice the 5 s for which the stand-in keeps one open.
 const WATCH_TIME: Duration = Duration::from_secs(10);
 
 /// Carries out a call and tells its end.
