--- a/standalone/demo/src/run.rs
+++ b/standalone/demo/src/run.rs
@@ -1,6 +1,6 @@
 //! The course of the demonstration.
 
-use crate::cluster::{Cluster, GROUPS, resources};
+use crate::cluster::{Cluster, GROUPS, Group, resources};
 use crate::fleet::{ANY_PORT, Fleet};
 use crate::report::{Report, Share};
 use crate::services::{self, RunningService, call_services};
@@ -78,14 +78,8 @@
     let trainers: Vec<_> = GROUPS
         .iter()
         .map(|group| {
-            let plan = Plan {
-                group: *group,
-                steps: options.steps,
-                samples_per_prompt: 8,
-                max_tokens: 600,
-                training_time: Duration::from_millis(2_000),
-            };
-            tokio::spawn(Trainer::new(plan, cluster.addresses()).run())
+            let trainer = Trainer::new(plan(*group, options.steps), cluster.addresses());
+            tokio::spawn(trainer.run())
         })
         .collect();
     cluster = inflict_faults(cluster, &platform.fleet, options.seed, &progress).await?;
@@ -101,8 +95,10 @@
             begun.elapsed().as_secs_f64()
         ));
     }
+    // The caller may have ended; then the summary shows that nothing was sent.
     let _ = stop.send(true);
     let calls = caller.await.unwrap_or_default();
+    // A panic while stopping is printed where it happens; the report stands.
     let _ = tokio::task::spawn_blocking(move || cluster.stop()).await;
 
     let mut report = Report {
@@ -118,6 +114,16 @@
     Ok(report)
 }
 
+fn plan(group: Group, steps: u64) -> Plan {
+    Plan {
+        group,
+        steps,
+        samples_per_prompt: 8,
+        max_tokens: 600,
+        training_time: Duration::from_millis(2_000),
+    }
+}
+
 async fn start_node(mut cluster: Cluster) -> Result<Cluster, DemoError> {
     let started = tokio::task::spawn_blocking(move || cluster.start().map(|()| cluster)).await;
     let started = started.map_err(|error| DemoError::StandIn(std::io::Error::other(error)))?;
--- a/standalone/demo/src/services.rs
+++ b/standalone/demo/src/services.rs
@@ -60,7 +60,7 @@
 }
 
 /// Looks up and lends, each loan asked for twice at two nodes at once, until
-/// told to stop.
+/// ordered to stop.
 pub(crate) async fn call_services(
     nodes: Arc<RwLock<Vec<SocketAddr>>>,
     stop: watch::Receiver<bool>,
--- a/standalone/dissemination/src/json.rs
+++ b/standalone/dissemination/src/json.rs
@@ -1,4 +1,4 @@
-//! Changes as the platform's watch interface tells them.
+//! Changes in the form of the platform's watch interface.
 
 use crate::replica::{Change, Operation};
 use brasspond_resource::{Kind, ObjectKey, Revision, object_from_json, object_to_json};
--- a/standalone/dissemination/src/readiness.rs
+++ b/standalone/dissemination/src/readiness.rs
@@ -33,13 +33,13 @@
         self.ready
     }
 
-    /// The store told its revision.
+    /// The store answered with its revision.
     pub fn hear_store(&mut self, revision: Revision) {
         self.store_heard = true;
         self.newest_heard = self.newest_heard.max(revision);
     }
 
-    /// A peer told the newest revision it knows. A peer that knows none is
+    /// A peer answered with the newest revision it knows. A peer that knows none is
     /// itself starting and does not count.
     pub fn hear_peer(&mut self, peer: &NodeName, known: Revision) {
         if known > Revision::default() {
--- a/standalone/dissemination/src/replica.rs
+++ b/standalone/dissemination/src/replica.rs
@@ -7,12 +7,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Changes kept to help peers catch up without a snapshot.
+/// Changes kept to help peers catch up without a snapshot: more than a fifth of a day's 1,900
+/// changes.
 const LOG_LENGTH: usize = 512;
-/// Time after which an unanswered pull is tried again, with another peer.
+/// Time after which an unanswered pull is sent to another peer: a probe period of the
+/// membership.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which a reader puts a change in force though no peer confirmed
-/// to hold it, provided no peer is there to confirm.
+/// Time after which a reader puts a change in force though no peer confirmed to hold it,
+/// provided no peer is there to confirm; not measured.
 const OLDEST_UNCONFIRMED: Duration = Duration::from_millis(200);
 
 /// What happened to one object.
--- a/standalone/emulator/src/cache.rs
+++ b/standalone/emulator/src/cache.rs
@@ -15,7 +15,7 @@
     events: Vec<CacheEvent>,
 }
 
-/// Events kept until the next report.
+/// Events kept until the next report; not measured.
 const MOST_EVENTS: usize = 64;
 
 impl PrefixCache {
--- a/standalone/emulator/src/engine.rs
+++ b/standalone/emulator/src/engine.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// What an engine tells the caller of [`Engine::advance`].
+/// What [`Engine::advance`] reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEvent {
     /// Tokens were generated.
@@ -302,7 +302,7 @@
         lagged
     }
 
-    /// When the engine next has something to tell, if nothing else happens.
+    /// When the engine next has an event to report, if nothing else happens.
     pub fn next_event(&self) -> Option<Timestamp> {
         let coming = self
             .loading
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Runs the engine up to `now` and takes what it has to tell.
+    /// Runs the engine up to `now` and returns the events since the last call.
     pub fn advance(&mut self, now: Timestamp) -> Vec<EngineEvent> {
         self.step_until(now);
         std::mem::take(&mut self.events)
@@ -400,7 +400,8 @@
     /// Runs decoding steps until something changes or `now` is reached.
     /// Returns false if the next step would end behind `now`.
     fn run_steps(&mut self, prefill: u64, now: Timestamp) -> bool {
-        /// Most steps worked out at once; bounds the error in context length.
+        /// Most steps worked out at once: bounds the error in context length to 64 tokens a
+        /// sequence; not measured.
         const MOST_STEPS: u64 = 64;
         if prefill > 0 {
             let time = Duration::from_nanos(prefill * self.parameters.prefill_per_token_nanos);
--- a/standalone/engine-api/src/lib.rs
+++ b/standalone/engine-api/src/lib.rs
@@ -73,7 +73,7 @@
     },
 }
 
-/// What an order tells an engine to do.
+/// What an engine is ordered to do.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
--- a/standalone/http/src/client.rs
+++ b/standalone/http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that tells whether a failed request may have been received.
+//! A client whose errors say whether the server may have received the request.
 
 use crate::body::{BodyError, ResponseBody, full_body, read_json};
 use displaydoc::Display;
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest JSON answer read, in bytes.
+/// Longest JSON answer read, in bytes; not measured.
 const LONGEST_ANSWER: usize = 64 * 1024 * 1024;
-/// Time to connect.
+/// Time to connect; not measured.
 const CONNECT_TIME: Duration = Duration::from_secs(2);
-/// Time an idle connection is kept.
+/// Time an idle connection is kept; not measured.
 const IDLE_TIME: Duration = Duration::from_secs(30);
 
 /// Why a call failed.
--- a/standalone/http/src/sse.rs
+++ b/standalone/http/src/sse.rs
@@ -4,7 +4,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// Longest event read, in bytes.
+/// Longest event read, in bytes; not measured.
 const LONGEST_EVENT: usize = 4 * 1024 * 1024;
 
 /// One event with `data` as its content.
--- a/standalone/idempotency/src/claim.rs
+++ b/standalone/idempotency/src/claim.rs
@@ -53,7 +53,7 @@
     Accepted,
     /// Another token holds the key.
     Held {
-        /// How that request ended, if the voter was told.
+        /// How that request ended, if the voter knows it.
         outcome: Option<Outcome>,
     },
     /// The voter is in another epoch.
--- a/standalone/idempotency/src/coordinator.rs
+++ b/standalone/idempotency/src/coordinator.rs
@@ -7,10 +7,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time between two sends of the same claim to a voter that does not answer.
-const RESEND: Duration = Duration::from_millis(150);
-/// Time after which a claim without a majority is given up.
-const GIVE_UP: Duration = Duration::from_millis(1_000);
+/// Time between two sends of the same claim to a voter that does not answer; not measured.
+const CLAIM_RESEND: Duration = Duration::from_millis(150);
+/// Time after which a claim without a majority is given up; not measured.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// What became of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,10 +78,13 @@
         if self.decision.is_some() {
             return Vec::new();
         }
-        if now.since(self.started) >= GIVE_UP || self.in_force.voters.is_empty() {
+        if now.since(self.started) >= CLAIM_TIMEOUT || self.in_force.voters.is_empty() {
             return self.give_up();
         }
-        if self.last_sent.is_some_and(|sent| now.since(sent) < RESEND) {
+        if self
+            .last_sent
+            .is_some_and(|sent| now.since(sent) < CLAIM_RESEND)
+        {
             return Vec::new();
         }
         self.last_sent = Some(now);
--- a/standalone/idempotency/src/voter.rs
+++ b/standalone/idempotency/src/voter.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time between two requests to copy the same shard.
+/// Time between two requests to copy the same shard; not measured.
 const COPY_RETRY: Duration = Duration::from_millis(500);
-/// Time a claim is kept; repeats of a key are recognised this long.
+/// Time a claim is kept; repeats of a key are recognised this long (design note 0010).
 const KEEP_CLAIMS: Duration = Duration::from_secs(24 * 3_600);
 
 #[derive(Debug)]
--- a/standalone/limits/src/concurrency.rs
+++ b/standalone/limits/src/concurrency.rs
@@ -12,9 +12,9 @@
     highest: f64,
 }
 
-/// Factor on the limit after an overload.
+/// Factor on the limit after an overload; not measured.
 const DECREASE: f64 = 0.8;
-/// Part of the limit that must be in use for it to grow.
+/// Part of the limit that must be in use for it to grow; not measured.
 const USED_TO_GROW: f64 = 0.9;
 
 impl ConcurrencyLimit {
--- a/standalone/rollout/src/lengths.rs
+++ b/standalone/rollout/src/lengths.rs
@@ -3,13 +3,13 @@
 use brasspond_types::PromptDigest;
 use std::collections::HashMap;
 
-/// Expected tokens of an answer before any is finished.
+/// Expected tokens of an answer before any is finished; not measured.
 const FIRST_LENGTH: f64 = 256.0;
-/// Weight of the newest answer in the running mean over all prompts.
+/// Weight of the newest answer in the running mean over all prompts; not measured.
 const SMOOTHING: f64 = 0.02;
-/// Part of the longest length that is forgotten with each answer.
+/// Part of the longest length that is forgotten with each answer; not measured.
 const FORGETTING: f64 = 0.0005;
-/// Prompts remembered.
+/// Prompts remembered; not measured.
 const MOST_PROMPTS: usize = 65_536;
 
 /// Lengths of one group's answers, by prompt and over all.
@@ -36,7 +36,7 @@
 impl LengthModel {
     /// Takes in the length of a finished answer, in tokens.
     pub fn learn(&mut self, prompt: PromptDigest, tokens: f64) {
-        /// Answers over which the mean of a prompt is taken.
+        /// Answers over which the mean of a prompt is taken; not measured.
         const WINDOW: u32 = 32;
         self.mean += (tokens - self.mean) * SMOOTHING;
         self.longest = (self.longest * (1.0 - FORGETTING)).max(tokens);
--- a/standalone/routing/src/health.rs
+++ b/standalone/routing/src/health.rs
@@ -3,15 +3,15 @@
 use brasspond_types::Timestamp;
 use std::time::Duration;
 
-/// Failures in a row after which an engine is ejected.
+/// Failures in a row after which an engine is ejected; not measured.
 const FAILURES_TO_EJECT: u32 = 3;
-/// First ejection time; doubles with each ejection in a row.
+/// First ejection time; doubles with each ejection in a row (design note 0004).
 const FIRST_EJECTION: Duration = Duration::from_secs(1);
-/// Longest ejection time.
+/// Longest ejection time (design note 0004).
 const LONGEST_EJECTION: Duration = Duration::from_secs(30);
-/// Time over which a new or returned engine is brought to full load.
+/// Time over which a new or returned engine is brought to full load; not measured.
 const SLOW_START: Duration = Duration::from_secs(5);
-/// Cost factor at the beginning of the slow start.
+/// Cost factor at the beginning of the slow start; not measured.
 const SLOW_START_FACTOR: f64 = 3.0;
 
 /// Health of one engine as seen from one node.
--- a/standalone/routing/src/placement.rs
+++ b/standalone/routing/src/placement.rs
@@ -9,23 +9,23 @@
 use std::collections::{BTreeMap, HashMap};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Engines priced because the prompt's prefix points at them.
+/// Engines priced because the prompt's prefix points at them (design note 0004).
 const AFFINITY_CANDIDATES: usize = 2;
-/// Engines priced at random.
+/// Engines priced at random (design note 0004).
 const RANDOM_CANDIDATES: usize = 6;
-/// Extra cost of leaving the zone, in microseconds.
+/// Extra cost of leaving the zone, in microseconds: a round trip between zones of a region.
 const OTHER_ZONE_COST: f64 = 1_000.0;
-/// Extra cost of asking another node for a place, in microseconds: messages,
-/// and a load that may have changed.
+/// Extra cost of asking another node for a place, in microseconds: messages, and a load that
+/// may have changed; not measured.
 const OTHER_OWNER_COST: f64 = 4_000.0;
-/// Age after which a load report says little, in microseconds; the estimate
-/// moves to the mean of all engines over this time.
+/// Age of a load report, in microseconds, at which it counts half; the estimate moves to the
+/// mean of all engines. As long as the period of summaries (2 s).
 const REPORT_HALF_LIFE: f64 = 2_000_000.0;
-/// Part of the prompt expected in the cache of an engine that rendezvous
-/// hashing assigns to it, since other nodes may have sent it there.
+/// Part of the prompt expected in the cache of an engine that rendezvous hashing assigns to it,
+/// since other nodes may have sent it there; not measured.
 const AFFINITY_HIT: f64 = 0.2;
 
-/// Load of an engine and its queue, as its owner last told.
+/// Load of an engine and its queue, as its owner last reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// Requests on the engine.
@@ -275,12 +275,12 @@
         }
     }
 
-    /// Takes in the load of the whole pool, some seconds old.
+    /// Records the load of the whole pool, some seconds old.
     pub fn set_pool(&mut self, pool: PoolLoad) {
         self.pool = pool;
     }
 
-    /// Takes in the load an owner told of.
+    /// Records the load that an owner reported.
     pub fn report(&mut self, name: &EngineName, load: EngineLoad, now: Timestamp) {
         if let Some(engine) = self.get_mut(name) {
             engine.load = load;
--- a/standalone/routing/src/prefix.rs
+++ b/standalone/routing/src/prefix.rs
@@ -1,11 +1,11 @@
-//! Prompt prefixes as chains of block hashes, and what engines tell of them.
+//! Prompt prefixes as chains of block hashes, and what engines report of them.
 
 use brasspond_types::stable_hash;
 use serde::{Deserialize, Serialize};
 
-/// Tokens in one cache block.
+/// Tokens in one cache block; a usual size of engines' prefix caches, not measured.
 pub const BLOCK_TOKENS: u32 = 16;
-/// Characters a token is assumed to have where no tokenizer is at hand.
+/// Characters a token is assumed to have where no tokenizer is at hand; not measured.
 const CHARACTERS_PER_TOKEN: usize = 4;
 
 /// Estimates the number of tokens of a text.
--- a/standalone/routing/src/sent.rs
+++ b/standalone/routing/src/sent.rs
@@ -3,7 +3,7 @@
 use brasspond_types::EngineName;
 use std::collections::{HashMap, VecDeque};
 
-/// Prefixes remembered.
+/// Prefixes remembered; not measured.
 const MOST_PREFIXES: usize = 16_384;
 
 /// The engine each prompt prefix was last sent to, newest ones only.
--- a/standalone/simulation/src/actions.rs
+++ b/standalone/simulation/src/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the nodes decide.
+//! Applying what the nodes decide.
 
 use crate::clients::Origin;
 use crate::world::{Happening, World};
@@ -7,7 +7,8 @@
 use brasspond_types::EngineName;
 use std::time::Duration;
 
-/// Time after which a call to a store that cannot be reached fails.
+/// Time after which a call to a store that cannot be reached fails, as in the running node
+/// (`store_client::CALL_TIME`).
 const UNREACHABLE_TIME: Duration = Duration::from_secs(3);
 /// Time a watch waits for changes.
 const WATCH_TIME: Duration = Duration::from_secs(5);
@@ -32,7 +33,7 @@
         self.engine_indices.get(name).copied()
     }
 
-    pub(crate) fn carry_out(&mut self, node: usize, instance: u64, action: Action) {
+    pub(crate) fn apply(&mut self, node: usize, instance: u64, action: Action) {
         let zone = self.nodes[node].zone;
         match action {
             Action::Send {
@@ -147,7 +148,7 @@
         );
     }
 
-    /// Tells all who watch.
+    /// Answers all who watch.
     pub(crate) fn store_changed(&mut self) {
         if self.platform.down {
             return;
--- a/standalone/simulation/src/clients.rs
+++ b/standalone/simulation/src/clients.rs
@@ -68,7 +68,7 @@
         self.answer_client(origin, Some((reply, answer)));
     }
 
-    /// Tells a client the end of its request; none where the connection broke.
+    /// Reports to a client the end of its request; none where the connection broke.
     pub(crate) fn answer_client(
         &mut self,
         origin: Origin,
--- a/standalone/simulation/src/engines.rs
+++ b/standalone/simulation/src/engines.rs
@@ -12,7 +12,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which an unanswered poll or order counts as failed.
+/// Time after which an unanswered poll or order counts as failed, as in the running node
+/// (`engine_client::CONTROL_TIME`).
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A connection on which an engine answers.
@@ -80,7 +81,7 @@
                 generated: call.resume,
                 not_run: true,
             };
-            self.tell_attempt(node, instance, attempt, index, update);
+            self.report_attempt(node, instance, attempt, index, update);
             return;
         }
         self.oracle.check_begun(now, engine.leaving_since);
@@ -99,7 +100,7 @@
         self.wake_later(index);
     }
 
-    /// Schedules the next look at an engine.
+    /// Schedules the engine's next event.
     pub(crate) fn wake_later(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         let Some(next) = engine.engine.next_event() else {
@@ -142,7 +143,13 @@
                     };
                     let generated = stream.generated;
                     let update = AttemptUpdate::Finished { generated, reason };
-                    self.tell_attempt(stream.node, stream.instance, stream.attempt, index, update);
+                    self.report_attempt(
+                        stream.node,
+                        stream.instance,
+                        stream.attempt,
+                        index,
+                        update,
+                    );
                 }
             }
         }
@@ -159,13 +166,13 @@
             stream.reported = Some(version);
             let (node, instance, attempt) = (stream.node, stream.instance, stream.attempt);
             let update = AttemptUpdate::Progress { oldest: version };
-            self.tell_attempt(node, instance, attempt, index, update);
+            self.report_attempt(node, instance, attempt, index, update);
         }
     }
 
-    /// Tells a node of its attempt, over a connection that loses nothing but
+    /// Reports to a node on its attempt, over a connection that loses nothing but
     /// breaks when the zones are cut off.
-    fn tell_attempt(
+    fn report_attempt(
         &mut self,
         node: usize,
         instance: u64,
@@ -216,7 +223,7 @@
                 generated,
                 not_run: false,
             };
-            self.tell_attempt(stream.node, stream.instance, stream.attempt, index, update);
+            self.report_attempt(stream.node, stream.instance, stream.attempt, index, update);
         }
     }
 
--- a/standalone/simulation/src/fuzz.rs
+++ b/standalone/simulation/src/fuzz.rs
@@ -15,16 +15,18 @@
 
 /// Time within which faults begin.
 const FAULT_SPAN: Duration = Duration::from_secs(20);
-/// Time after the faults by which everything must be done.
-const SETTLE_TIME: Duration = Duration::from_secs(240);
-/// Steps whose time is contained in [`SETTLE_TIME`].
+/// Time after the faults by which everything must be done; a chosen limit, far above the usual
+/// end.
+const FINISH_TIME: Duration = Duration::from_secs(240);
+/// Steps whose time is contained in [`FINISH_TIME`].
 const USUAL_STEPS: u64 = 3;
-/// Time for each step beyond those.
+/// Time for each step beyond those; a chosen limit.
 const STEP_TIME: Duration = Duration::from_secs(20);
-/// Time without changes after which all nodes must agree.
-const QUIET_TIME: Duration = Duration::from_secs(20);
-/// Step in which the end of the work is looked for.
-const LOOK: Duration = Duration::from_secs(5);
+/// Time without changes after which all nodes must agree: above the bound of 7 s for a
+/// configuration.
+const CALM_TIME: Duration = Duration::from_secs(20);
+/// Time between two checks whether the work is done.
+const CHECK_PERIOD: Duration = Duration::from_secs(5);
 
 /// What to fuzz.
 #[derive(Clone, Debug)]
@@ -68,42 +70,16 @@
 pub fn fuzz_config(seed: u64, options: &FuzzOptions) -> WorldConfig {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let faults = draw_faults(&mut random, options.pairs, FAULT_SPAN, &options.kinds);
-    let groups = [("cardiff", 2.0, 2), ("riga", 1.0, 1)];
-    let groups = groups
-        .into_iter()
-        .map(|(name, share, max_staleness)| GroupConfig {
-            name: name.to_owned(),
-            share,
-            max_staleness,
-            swap: if random.random_bool(0.5) {
-                SwapPolicy::MidStream
-            } else {
-                SwapPolicy::Drain
-            },
-            steps: options.steps,
-            prompts: 4,
-            samples_per_prompt: 4,
-            prompt_bytes: 128,
-            max_tokens: 400,
-            steps_ahead: 1,
-            training_time: Duration::from_millis(1_500),
-        });
+    let groups = [("cardiff", 2.0, 2), ("riga", 1.0, 1)]
+        .map(|(name, share, bound)| group(name, share, bound, options.steps, &mut random));
     WorldConfig {
         seed,
         regions: 2,
         zones_per_region: 2,
         nodes: 5,
         engines: 4,
-        engine: EngineParameters {
-            max_running: 4,
-            lengths: LengthDistribution {
-                median: 120.0,
-                prompt_sigma: 0.6,
-                sample_sigma: 0.5,
-            },
-            ..EngineParameters::default()
-        },
-        groups: groups.collect(),
+        engine: engine_parameters(),
+        groups: groups.into(),
         callers: CallerConfig {
             model_rate: 1.0,
             model_tokens: 60,
@@ -134,11 +110,52 @@
     }
 }
 
+/// A group whose weights are swapped in a drawn manner.
+fn group(
+    name: &str,
+    share: f64,
+    max_staleness: u64,
+    steps: u64,
+    random: &mut ChaCha8Rng,
+) -> GroupConfig {
+    let is_mid_stream = random.random_bool(0.5);
+    GroupConfig {
+        name: name.to_owned(),
+        share,
+        max_staleness,
+        swap: if is_mid_stream {
+            SwapPolicy::MidStream
+        } else {
+            SwapPolicy::Drain
+        },
+        steps,
+        prompts: 4,
+        samples_per_prompt: 4,
+        prompt_bytes: 128,
+        max_tokens: 400,
+        steps_ahead: 1,
+        training_time: Duration::from_millis(1_500),
+    }
+}
+
+/// Small engines with answers of very different lengths.
+fn engine_parameters() -> EngineParameters {
+    EngineParameters {
+        max_running: 4,
+        lengths: LengthDistribution {
+            median: 120.0,
+            prompt_sigma: 0.6,
+            sample_sigma: 0.5,
+        },
+        ..EngineParameters::default()
+    }
+}
+
 /// Simulated time by which a run of so many steps must be done.
 pub fn run_limit(steps: u64) -> Duration {
     let more = steps.saturating_sub(USUAL_STEPS);
     let more = u32::try_from(more).unwrap_or(u32::MAX);
-    FAULT_SPAN + SETTLE_TIME + STEP_TIME * more
+    FAULT_SPAN + FINISH_TIME + STEP_TIME * more
 }
 
 /// How a run ended.
@@ -154,7 +171,7 @@
     world.stop_operators();
     let end = Timestamp::ZERO + run_limit(steps);
     while !world.trainers_done() && world.now() < end {
-        let next = world.now() + LOOK;
+        let next = world.now() + CHECK_PERIOD;
         world.run_until(next);
         if !world.oracle().violations().is_empty() {
             return Played {
@@ -164,7 +181,7 @@
         }
     }
     let out_of_time = !world.trainers_done();
-    let quiet = world.now() + QUIET_TIME;
+    let quiet = world.now() + CALM_TIME;
     world.run_until(quiet);
     if !out_of_time {
         world.check_all_delivered();
--- a/standalone/simulation/src/oracle.rs
+++ b/standalone/simulation/src/oracle.rs
@@ -45,7 +45,7 @@
     pub detail: String,
 }
 
-/// Time after which a leaving back end must get no new work.
+/// Time after which a leaving back end must get no new work: within the bound of 2 to 4 s.
 pub(crate) const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
 /// The oracle.
--- a/standalone/simulation/src/trainers.rs
+++ b/standalone/simulation/src/trainers.rs
@@ -18,9 +18,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two looks of a trainer at what it has.
+/// Time between two ticks of a trainer.
 const TRAINER_TICK: Duration = Duration::from_millis(50);
-/// Time after which a trainer asks another node.
+/// Time after which a trainer asks another node: above the time that it lets the service wait.
 const ANSWER_TIME: Duration = Duration::from_secs(4);
 /// Time the service may wait for a sample, in milliseconds.
 const WAIT_MILLISECONDS: u32 = 1_000;
@@ -281,36 +281,38 @@
         cursor: String,
         newest: u64,
     ) {
-        let now = self.now;
-        let lengths = self.config.engine.lengths;
-        let trainer = &mut self.trainers[index];
-        let id = trainer.id(step);
         for sample in samples {
-            self.oracle.check_once(now, &id, sample.slot);
-            let oldest = sample.oldest_version().unwrap_or_default();
-            let newest_version = WeightVersion(newest);
-            let bound = trainer.config.max_staleness;
-            self.oracle
-                .check_staleness(now, oldest, newest_version, bound);
-            let slot = sample.slot;
-            let sample_id = SampleId {
-                step: id.clone(),
-                slot,
-            };
-            let seed = stable_hash(&[sample_id.to_string().as_bytes()]);
-            let (truth, is_own) = read_proof(&sample.text, seed);
-            self.oracle.check_versions(now, &sample.spans, &truth);
-            let prompt = (slot / trainer.config.samples_per_prompt) as usize;
-            let prompt = &trainer.prompts[prompt].text;
-            let wanted = answer_length(&lengths, prompt, seed, trainer.config.max_tokens);
-            let got = total_tokens(&sample.spans);
-            self.oracle.check_whole(now, got, u64::from(wanted), is_own);
+            self.check_sample(index, step, sample, WeightVersion(newest));
         }
-        if let Some(open) = trainer.steps.get_mut(&step) {
+        if let Some(open) = self.trainers[index].steps.get_mut(&step) {
             open.cursor = cursor;
             open.held += samples.len() as u32;
         }
     }
+
+    /// Holds a sample against the engines' own marks; `newest` is the version that was published
+    /// when it was asked for.
+    fn check_sample(&mut self, index: usize, step: u64, sample: &Sample, newest: WeightVersion) {
+        let now = self.now;
+        let trainer = &self.trainers[index];
+        let step = trainer.id(step);
+        let slot = sample.slot;
+        self.oracle.check_once(now, &step, slot);
+        // A sample without tokens counts as the oldest version there can be.
+        let oldest = sample.oldest_version().unwrap_or_default();
+        let bound = trainer.config.max_staleness;
+        self.oracle.check_staleness(now, oldest, newest, bound);
+        let id = SampleId { step, slot };
+        let seed = stable_hash(&[id.to_string().as_bytes()]);
+        let (truth, is_own) = read_proof(&sample.text, seed);
+        self.oracle.check_versions(now, &sample.spans, &truth);
+        let prompt = (slot / trainer.config.samples_per_prompt) as usize;
+        let prompt = &trainer.prompts[prompt].text;
+        let lengths = self.config.engine.lengths;
+        let wanted = answer_length(&lengths, prompt, seed, trainer.config.max_tokens);
+        let got = total_tokens(&sample.spans);
+        self.oracle.check_whole(now, got, u64::from(wanted), is_own);
+    }
 }
 
 /// Versions that truly made a sample, and whether all of it is the answer to
--- a/standalone/simulation/src/world.rs
+++ b/standalone/simulation/src/world.rs
@@ -29,11 +29,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time until the platform's list shows what happened to a machine.
+/// Time until the platform's list shows what happened to a machine; drawn up for the
+/// simulation.
 const LIST_LAG: Duration = Duration::from_secs(1);
-/// Time after which a drained node or an engine that left comes back.
+/// Time after which a drained node or an engine that left comes back; drawn up for the
+/// simulation.
 const RETURN_TIME: Duration = Duration::from_secs(2);
-/// Time a leaving engine stays at least.
+/// Shortest time a leaving engine stays: above the grace of the oracle, so that it can see new
+/// work.
 const LEAVING_TIME: Duration = Duration::from_secs(5);
 
 /// Something that happens.
@@ -199,7 +202,7 @@
         self.nodes.iter().position(|node| node.address == address)
     }
 
-    /// Shows each action of each node, with the node's index, before it is carried out.
+    /// Shows each action of each node, with the node's index, before it is applied.
     pub fn observe(&mut self, observer: impl FnMut(usize, &Action) + 'static) {
         self.observer = Some(Box::new(observer));
     }
@@ -278,7 +281,7 @@
         }
     }
 
-    /// Feeds an event to a node's decisions and carries out what they decide.
+    /// Feeds an event to a node's decisions and applies what they decide.
     pub(crate) fn feed(&mut self, index: usize, instance: u64, event: Event) {
         if self.nodes[index].instance() != Some(instance) {
             return;
@@ -287,7 +290,7 @@
             self.nodes[index].backlog.push(event);
             return;
         }
-        self.note_answer(index, instance, &event);
+        self.record_answer(index, instance, &event);
         let node = &mut self.nodes[index];
         let Some(control) = &mut node.control else {
             return;
@@ -301,12 +304,12 @@
             if let Some(observer) = &mut self.observer {
                 observer(index, &action);
             }
-            self.carry_out(index, instance, action);
+            self.apply(index, instance, action);
         }
     }
 
     /// Keeps the whole answer that a node passes on to its caller.
-    fn note_answer(&mut self, index: usize, instance: u64, event: &Event) {
+    fn record_answer(&mut self, index: usize, instance: u64, event: &Event) {
         let Event::Attempt {
             attempt,
             update: AttemptUpdate::Finished { generated, .. },
--- a/standalone/simulation/src/world/build.rs
+++ b/standalone/simulation/src/world/build.rs
@@ -40,7 +40,8 @@
             objects.push(self.machine(index, false));
         }
         for object in objects {
-            let _ = self.platform.store.put(object, None);
+            let written = self.platform.store.put(object, None);
+            debug_assert!(written.is_ok(), "a store without the object takes it");
         }
     }
 
--- a/standalone/simulation/tests/guarantees.rs
+++ b/standalone/simulation/tests/guarantees.rs
@@ -109,7 +109,7 @@
     fault(FaultKind::StoreDown, 13.14, 1.08, 59),
     fault(FaultKind::NodeDrain, 14.89, 3.46, 56),
 ])]
-#[case::late_word_of_slots_under_way(5_552, vec![
+#[case::late_report_of_slots_under_way(5_552, vec![
     fault(FaultKind::PacketLoss, 5.732_698_853, 4.772_286_501, 49),
     fault(FaultKind::FailedSwaps, 6.212_259_014, 5.322_485_485, 36),
 ])]
--- a/standalone/standin/src/engine.rs
+++ b/standalone/standin/src/engine.rs
@@ -25,11 +25,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// Longest request taken, in bytes.
+/// Longest request accepted, in bytes; not measured.
 const LONGEST_REQUEST: usize = 4 * 1024 * 1024;
-/// Chunks buffered for a slow reader.
+/// Chunks buffered for a slow reader; not measured.
 const CHUNKS_BUFFERED: usize = 4_096;
-/// Time for a source of weights to answer.
+/// Time for a source of weights to answer; not measured.
 const SOURCE_TIME: Duration = Duration::from_secs(1);
 
 /// Settings of an engine stand-in.
@@ -49,7 +49,7 @@
     pub upload_slots: usize,
     /// Time of a transfer to another engine.
     pub upload_time: Duration,
-    /// Time between two looks at what was generated.
+    /// Time between two ticks, at which what was generated is sent.
     pub tick: Duration,
     /// Faults.
     pub faults: FaultSchedule,
@@ -107,6 +107,33 @@
     resume_bytes: usize,
 }
 
+impl CompletionRequest {
+    /// The request without the text of earlier attempts; none if `resume_bytes` splits a character.
+    fn call(&self) -> Option<EngineCall> {
+        let original = self.prompt.len().saturating_sub(self.resume_bytes);
+        let prompt: Arc<str> = self.prompt.get(..original)?.into();
+        let resumed = VersionSpan {
+            version: WeightVersion(0),
+            tokens: self.resume_tokens,
+        };
+        let has_resumed = self.resume_tokens > 0;
+        Some(EngineCall {
+            prefix: prefix_hashes(self.model.as_str(), &prompt).into(),
+            prompt_tokens: estimate_tokens(&prompt),
+            model: self.model.clone(),
+            prompt,
+            max_tokens: self.max_tokens,
+            seed: self.seed,
+            priority: self.priority,
+            resume: Partial {
+                spans: has_resumed.then_some(resumed).into_iter().collect(),
+                ..Partial::default()
+            },
+        })
+    }
+}
+
+/// As in the node's own interface.
 fn default_max_tokens() -> u32 {
     256
 }
@@ -180,6 +207,7 @@
         let serving = serve(listener, Limits::default(), handler, stop);
         match crash {
             Some(after) => {
+                // Either end is the scheduled crash.
                 let _ = tokio::time::timeout(after, serving).await;
             }
             None => serving.await,
@@ -215,7 +243,7 @@
             let events = state.engine.advance(now);
             let mut gone = Vec::new();
             for event in events {
-                state.tell(event, &mut gone);
+                state.report(event, &mut gone);
             }
             let closed = state
                 .running
@@ -263,33 +291,10 @@
             Ok(body) => body,
             Err(problem) => return refusal(StatusCode::BAD_REQUEST, &problem.to_string()),
         };
-        let original = body.prompt.len().saturating_sub(body.resume_bytes);
-        let Some(original) = body.prompt.get(..original) else {
+        let Some(call) = body.call() else {
             return refusal(StatusCode::BAD_REQUEST, "resume_bytes splits a character");
         };
-        let prompt: Arc<str> = original.into();
-        let resumed = VersionSpan {
-            version: WeightVersion(0),
-            tokens: body.resume_tokens,
-        };
-        let spans = if body.resume_tokens > 0 {
-            vec![resumed]
-        } else {
-            Vec::new()
-        };
-        let call = EngineCall {
-            prefix: prefix_hashes(body.model.as_str(), &prompt).into(),
-            prompt_tokens: estimate_tokens(&prompt),
-            model: body.model.clone(),
-            prompt: Arc::clone(&prompt),
-            max_tokens: body.max_tokens,
-            seed: body.seed,
-            priority: body.priority,
-            resume: Partial {
-                spans,
-                ..Partial::default()
-            },
-        };
+        let prompt = Arc::clone(&call.prompt);
         let (chunks, response_body) = channel_body(CHUNKS_BUFFERED);
         let now = self.now();
         let submitted = self.locked(|state| {
@@ -395,8 +400,8 @@
 }
 
 impl State {
-    /// Sends what happened to the reader; notes readers that are gone.
-    fn tell(&mut self, event: EngineEvent, gone: &mut Vec<u64>) {
+    /// Sends what happened to the reader; collects readers that are gone.
+    fn report(&mut self, event: EngineEvent, gone: &mut Vec<u64>) {
         match event {
             EngineEvent::Tokens {
                 id,
@@ -435,6 +440,7 @@
                     version.unwrap_or_default(),
                     Some(reason),
                 );
+                // A reader that is gone misses the end as well.
                 let _ = running.chunks.try_send(Ok(sse_event(&last.to_string())));
                 let _ = running.chunks.try_send(Ok(sse_event("[DONE]")));
             }
--- a/standalone/standin/src/service.rs
+++ b/standalone/standin/src/service.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Longest request taken, in bytes.
+/// Longest request accepted, in bytes; not measured.
 const LONGEST_REQUEST: usize = 16 * 1024 * 1024;
 
 /// What the service itself knows of its runs.
--- a/standalone/standin/src/store.rs
+++ b/standalone/standin/src/store.rs
@@ -21,11 +21,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
 
-/// Longest manifest taken, in bytes.
+/// Longest manifest accepted, in bytes; not measured.
 const LONGEST_MANIFEST: usize = 4 * 1024 * 1024;
-/// Time a watch waits for a change.
+/// Time a watch waits for a change; not measured.
 const WATCH_TIME: Duration = Duration::from_secs(5);
-/// Delay of answers while the store is slow.
+/// Delay of answers while the store is slow; not measured.
 const SLOWNESS: Duration = Duration::from_millis(1_500);
 
 /// The object store.
@@ -57,6 +57,7 @@
 
     /// Deletes an object directly.
     pub fn remove(&self, key: &ObjectKey) {
+        // An object that is not there needs no removal.
         let _ = self.locked(|store| store.remove(key, None));
         self.changed.notify_waiters();
     }
--- a/standalone/standin/src/weights.rs
+++ b/standalone/standin/src/weights.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A weight store that tells how long a transfer takes, or that it is busy.
+/// A weight store that answers how long a transfer takes, or that it is busy.
 ///
 /// `GET /weights/{model}/{version}` answers 200 with
 /// `{"milliseconds": n}`, or 429.
