--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -97,11 +97,8 @@
             self.recorded(machine, attempt);
             return;
         };
-        let end = if job.is_mixed(&run.events) {
-            RunEnd::Mixed
-        } else {
-            end
-        };
+        let is_mixed = job.is_mixed(&run.events);
+        let end = if is_mixed { RunEnd::Mixed } else { end };
         let max_attempts = job.route.as_ref().map_or(1, |route| route.max_attempts);
         let item = &mut job.items[run.item as usize];
         if item.state != State::Running(attempt) {
@@ -109,16 +106,17 @@
             return;
         }
         item.failures += u32::from(end == RunEnd::Failed);
+        let ending = State::Ending(Some((attempt, machine.to_string())));
         let next = retry::after_run(end, item.failures, max_attempts, item.is_scored);
         match next {
             NextStep::Score => self.begin_scoring(attempt, machine, run, now),
             NextStep::Finish => {
-                item.state = State::Ending(Some((attempt, machine.to_string())));
+                item.state = ending;
                 let draft = draft_of(&run.job, run.item, &run.events, run.kept);
                 self.actions.push(Action::Finish(draft));
             }
             NextStep::GiveUp => {
-                item.state = State::Ending(Some((attempt, machine.to_string())));
+                item.state = ending;
                 self.terminate(&run.job, run.item);
             }
             NextStep::Continue | NextStep::Restart => {
--- a/crates/dispatch/src/places.rs
+++ b/crates/dispatch/src/places.rs
@@ -29,7 +29,7 @@
     /// after a fault; while it warms up no more than its budget, and none unless this process
     /// is the confirmed leader.
     pub fn free_places(&self, replica: &Replica, now: Millis) -> usize {
-        if replica.paused_until > now {
+        if replica.is_paused(now) {
             return 0;
         }
         if replica.has_budget(now) && !self.warming.may_grant() {
--- a/crates/dispatch/src/replicas.rs
+++ b/crates/dispatch/src/replicas.rs
@@ -250,6 +250,11 @@
         self.running as f64 / self.slots.max(1) as f64
     }
 
+    /// Whether it is given nothing after a fault.
+    pub fn is_paused(&self, now: Millis) -> bool {
+        now < self.paused_until
+    }
+
     /// Slots that no run takes, whether or not it may be given one.
     pub fn free_slots(&self) -> usize {
         self.slots.saturating_sub(self.running)
--- a/crates/dispatch/src/warming.rs
+++ b/crates/dispatch/src/warming.rs
@@ -276,7 +276,7 @@
             let replica = self.replicas.by_id.get(id)?;
             let takes = replica.has_budget(work.now)
                 && replica.budget_left(work.now) > 0
-                && replica.paused_until <= work.now
+                && !replica.is_paused(work.now)
                 && replica.standing.takes(work).is_ok();
             takes.then_some((id, replica))
         });
@@ -287,16 +287,16 @@
         best.map(|(id, _)| id.clone())
     }
 
-    /// A warm replica, for an edge that takes it for one that warms up: an edge that has just
-    /// started counts the warm-up period of an entry from its own start. `draw`: spreads such
+    /// A warm replica, for an edge that knows it as one that warms up: an edge that has just started
+    /// counts the warm-up period of an entry from its own start. `draw`: spreads such
     /// requests over the replicas. None without a configuration, as none is known to be warm.
     fn warm_one(&self, work: &Work<'_>, draw: u64) -> Option<String> {
         self.view.configuration.as_ref()?;
         let by_id = &self.replicas.by_id;
         let first = draw as usize % by_id.len().max(1);
-        let turned = by_id.iter().skip(first).chain(by_id.iter().take(first));
-        let mut warm = turned.filter(|(_, replica)| {
-            let is_warm = !replica.has_budget(work.now) && replica.paused_until <= work.now;
+        let rotated = by_id.iter().skip(first).chain(by_id.iter().take(first));
+        let mut warm = rotated.filter(|(_, replica)| {
+            let is_warm = !replica.has_budget(work.now) && !replica.is_paused(work.now);
             is_warm && replica.standing.takes(work).is_ok()
         });
         warm.next().map(|(id, _)| id.clone())
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -57,7 +57,7 @@
 impl ReplicaInfo {
     /// Whether another entry of this replica is the same but for the weights that it serves, which
     /// change with every load: edges act on all else.
-    pub fn takes_work_like(&self, other: &Self) -> bool {
+    pub(crate) fn takes_work_like(&self, other: &Self) -> bool {
         self.life == other.life
             && self.service == other.service
             && self.address == other.address
