--- a/crates/dispatch/src/load_plan.rs
+++ b/crates/dispatch/src/load_plan.rs
@@ -13,7 +13,7 @@
 /// Replicas for which loads are not planned again for a ms: at once in a small fleet, five times a
 /// second for 3,000 replicas (docs/CAPACITY.md), as a pass over these at each event would take
 /// all the leader's time.
-const REPLICAS_A_MS: u64 = 16;
+const PLANNED_REPLICAS_A_MS: u64 = 16;
 /// Part of a model's replicas that load each new version while nothing waits, 0 to 1; the others
 /// skip it while they still serve, as each load costs orders and hand-overs (docs/MEASUREMENTS.md,
 /// "half of the replicas fresh, not all": 0.95 against 0.88 with all).
@@ -80,7 +80,7 @@
     /// Begins loads that are due and asks replicas that load for their state. Where zones may be
     /// evacuated nothing begins before it is known which are.
     pub(crate) fn plan_orders(&mut self, now: Millis) {
-        let pause = self.orders.serves_first.len() as Millis / REPLICAS_A_MS;
+        let pause = self.orders.serves_first.len() as Millis / PLANNED_REPLICAS_A_MS;
         let planned_at = self.orders.planned_at;
         if planned_at.is_some_and(|planned_at| now < planned_at + pause) {
             return;
--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -1,10 +1,10 @@
 //! Which replica runs the next waiting item.
 //!
-//! Owns queues of replicas, one for each kind of need, the cheapest replica first. A queue is
-//! made by one pass over the fleet and kept for some time ([`REPLICAS_A_MS`]); a replica that
-//! gets free places meanwhile is added. Costs change as runs begin and end, so the head of a
-//! queue is priced again before it is taken, and goes back where it has become dearer. Placing
-//! `k` items on `n` replicas takes `n + k log n` steps. Relies on `places` for free places.
+//! Owns queues of replicas, one for each kind of need, the cheapest replica first. A queue is made
+//! by one pass over the fleet and kept for some time ([`QUEUED_REPLICAS_A_MS`]); a replica that
+//! gets free places meanwhile is added. Costs change as runs begin and end, so the head of a queue
+//! is priced again before it is taken, and goes back where it has become dearer. Placing `k` items
+//! on `n` replicas takes `n + k log n` steps. Relies on `places` for free places.
 
 use crate::orders::Orders;
 use crate::replicas::{Need, Replica, Replicas};
@@ -16,8 +16,8 @@
 /// Replicas for which queues are kept for a ms. Ends of pauses and newer paces are seen once
 /// queues are made again: at once in a small fleet, after half a second where there are 3,000
 /// replicas, as a pass over these for each item would take all the leader's time
-/// (docs/CAPACITY.md).
-const REPLICAS_A_MS: u64 = 6;
+/// (docs/design/0017-shifted-work.md). The figure was not measured.
+const QUEUED_REPLICAS_A_MS: u64 = 6;
 /// A replica that serves another model first counts as slower by this part: it is taken
 /// where all that serve the item's model first are about as much slower, or full. Not measured.
 const OTHER_MODEL_COST: f64 = 0.6;
@@ -166,7 +166,7 @@
 
     /// Brings the queues up to date.
     pub fn refresh(&mut self, availability: Availability<'_>) {
-        let kept_for = availability.replicas.by_id.len() as Millis / REPLICAS_A_MS;
+        let kept_for = availability.replicas.by_id.len() as Millis / QUEUED_REPLICAS_A_MS;
         if availability.now >= self.made_at + kept_for {
             self.forget();
             self.made_at = availability.now;
--- a/crates/dispatch/src/silence.rs
+++ b/crates/dispatch/src/silence.rs
@@ -18,7 +18,7 @@
 /// about 0.9 s (docs/design/0016-large-fleets.md).
 const LOADING_FACTOR: Millis = 4;
 /// Times [`STALLED_AFTER`] while the run's edge is silent too: nothing says then that the
-/// replica is at fault, and a lost edge is reported as such.
+/// replica is at fault, and a lost edge is reported as such. Not measured.
 const SILENT_EDGE_FACTOR: Millis = 2;
 /// An edge reports all its runs within this time, in ms; what arrives later belongs to another
 /// report. Not measured.
--- a/crates/dispatch/src/starting.rs
+++ b/crates/dispatch/src/starting.rs
@@ -12,8 +12,9 @@
 use brasspond_jobs::JobTable;
 use brasspond_units::Millis;
 
-/// Runs started in one call: a few ms of work, so that a leader with thousands of items to
-/// place handles other events in between. The next event, ms later, goes on with the others.
+/// Runs started in one call: a few ms of work, so that a leader with thousands of items to place
+/// handles other events in between. The next event, ms later, goes on with the others. Other
+/// figures were not measured.
 const MOST_STARTS: usize = 512;
 
 /// Where an item that waits is to run.
--- a/crates/dispatch/src/warming.rs
+++ b/crates/dispatch/src/warming.rs
@@ -287,8 +287,8 @@
         best.map(|(id, _)| id.clone())
     }
 
-    /// A warm replica, for an edge that knows it as one that warms up: an edge that has just started
-    /// counts the warm-up period of an entry from its own start. `draw`: spreads such
+    /// A warm replica, for an edge that knows it as one that warms up: an edge that has just
+    /// started counts the warm-up period of an entry from its own start. `draw`: spreads such
     /// requests over the replicas. None without a configuration, as none is known to be warm.
     fn warm_one(&self, work: &Work<'_>, draw: u64) -> Option<String> {
         self.view.configuration.as_ref()?;
--- a/crates/dispatch/tests/fuzzing.rs
+++ b/crates/dispatch/tests/fuzzing.rs
@@ -340,7 +340,8 @@
     assert!(!is_caught(None));
 }
 
-/// An order to score that was read before the edge learned that it was given up is in no registration.
+/// An order to score that was read before the edge learned that it was given up is in no
+/// registration.
 #[rstest]
 fn scorings_read_before_a_registration_end_with_their_job() {
     for seed in PLAYS_PAST_AN_END {
--- a/crates/dispatch/tests/loads.rs
+++ b/crates/dispatch/tests/loads.rs
@@ -155,8 +155,8 @@
     assert!(!asked(&actions).is_empty(), "{actions:?}");
 }
 
-/// A leader plans before it knows the fleet: the limit that it begins with follows the fleet that it
-/// comes to know.
+/// A leader plans before it knows the fleet: the limit that it begins with follows the fleet that
+/// it comes to know.
 #[rstest]
 fn the_first_limit_is_that_of_the_fleet_once_it_is_known() {
     let mut fleet = view(0, 2);
--- a/crates/dispatch/tests/model/fault.rs
+++ b/crates/dispatch/tests/model/fault.rs
@@ -26,8 +26,8 @@
         for_ms: u64,
         late: bool,
     },
-    /// An edge is suspended for so many ms, and messages wait for it; where it was given up it reads
-    /// so many of them before it registers its runs.
+    /// An edge is suspended for so many ms, and messages wait for it; where it was given up it
+    /// reads so many of them before it registers its runs.
     EdgeStands {
         edge: usize,
         for_ms: u64,
--- a/crates/dispatch/tests/scoring.rs
+++ b/crates/dispatch/tests/scoring.rs
@@ -322,9 +322,9 @@
     assert_eq!(lists(&fixture.handle(Event::Tick)), [Outcome::Terminated]);
 }
 
-/// An old link may deliver progress late, after the new link reported that the text is whole. The run
-/// is known: its scoring goes on, and the edge is not sent to forget a text that the log may not
-/// have yet.
+/// An old link may deliver progress late, after the new link reported that the text is whole. The
+/// run is known: its scoring goes on, and the edge is not sent to forget a text that the log may
+/// not have yet.
 #[rstest]
 #[case::being_scored(true)]
 #[case::being_listed(false)]
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -45,8 +45,8 @@
     assert_ne!(started[0].item, known.item);
 }
 
-/// An edge reports a run that its leader gave up: nothing else would end it, and it would go on past
-/// the end of its job.
+/// An edge reports a run that its leader gave up: nothing else would end it, and it would go on
+/// past the end of its job.
 #[rstest]
 fn a_run_that_is_not_known_is_cancelled_when_its_edge_reports_it() {
     let mut fixture = Fixture::new(view(1, 4), OrderLeases::default());
--- a/crates/eligibility/src/clearance.rs
+++ b/crates/eligibility/src/clearance.rs
@@ -10,7 +10,8 @@
 pub struct Clearance {
     replica: Arc<str>,
     address: SocketAddr,
-    /// Before which moment the request must be sent, by the sender's clock in ms; none: at any time.
+    /// Before which moment the request must be sent, by the sender's clock in ms; none: at any
+    /// time.
     send_by: Option<Millis>,
 }
 
--- a/crates/fleet/src/delta.rs
+++ b/crates/fleet/src/delta.rs
@@ -141,8 +141,8 @@
     ///
     /// A process that knows more than a new leader, whose first view may be an old copy, is at
     /// neither end of the leader's next difference: it merges `known` instead. If each such edge
-    /// asked for a whole view, the leader would send 100 MB at once (250 edges, 3,000 replicas; 1.3 s
-    /// of its link), and its heartbeats would be late.
+    /// asked for a whole view, the leader would send 100 MB at once (250 edges, 3,000 replicas; 1.3
+    /// s of its link), and its heartbeats would be late.
     ///
     /// # Errors
     /// [`OtherBase`]: `known` does not reach the end of the difference either.
--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -208,9 +208,9 @@
         LifeChange::Reborn { before }
     }
 
-    /// The known life was reported again. A new entry of it disproves a lower life. What the replica
-    /// reported itself only postpones that life, as it may have been under way while the lower
-    /// life wrote its entry.
+    /// The known life was reported again. A new entry of it disproves a lower life. What the
+    /// replica reported itself only postpones that life, as it may have been under way while the
+    /// lower life wrote its entry.
     fn confirm(&mut self, origin: Origin, now: u64) {
         match (origin, &mut self.lower) {
             (Origin::NewEntry, lower) => *lower = None,
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -172,8 +172,8 @@
         !self.needs_evacuated || self.evacuated_revision > 0
     }
 
-    /// A view with what is known of evacuated zones and nothing else: merged into another it changes
-    /// nothing else.
+    /// A view with what is known of evacuated zones and nothing else: merged into another it
+    /// changes nothing else.
     pub fn evacuated_part(&self) -> Self {
         Self {
             evacuated: Arc::clone(&self.evacuated),
--- a/crates/fleet/tests/life.rs
+++ b/crates/fleet/tests/life.rs
@@ -19,8 +19,8 @@
     assert!(OLD < NEW);
 }
 
-/// Whichever of entry and replica is first, the newer life counts once, and an older report after it
-/// does nothing.
+/// Whichever of entry and replica is first, the newer life counts once, and an older report after
+/// it does nothing.
 #[rstest]
 fn an_older_life_is_ignored() {
     let mut lives = Lives::default();
--- a/crates/jobs/src/away.rs
+++ b/crates/jobs/src/away.rs
@@ -56,8 +56,8 @@
         spare.collect()
     }
 
-    /// Texts of a job are in a file now, one after another in the order of `texts`: they go from the
-    /// table.
+    /// Texts of a job are in a file now, one after another in the order of `texts`: they go from
+    /// the table.
     pub fn put_away(&mut self, id: &str, file: u64, texts: &[(u64, Bytes)]) {
         let Some(job) = self.job_mut(id) else {
             return;
--- a/crates/jobs/src/command.rs
+++ b/crates/jobs/src/command.rs
@@ -120,8 +120,8 @@
     pub version: u64,
 }
 
-/// Parts of an item's text, kept while it is made, so that the loss of all processes costs little of
-/// a long text.
+/// Parts of an item's text, kept while it is made, so that the loss of all processes costs little
+/// of a long text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The job.
