--- a/crates/dispatch/tests/fuzzing.rs
+++ b/crates/dispatch/tests/fuzzing.rs
@@ -91,7 +91,7 @@
         (edge.clone(), 20_u64..2_000, any::<bool>())
             .prop_map(|(edge, for_ms, late)| Fault::LinkBreaks { edge, for_ms, late }),
         edge.clone().prop_map(Fault::EdgeDrains),
-        (edge, 20_u64..7_000).prop_map(|(edge, for_ms)| Fault::EdgeStands {
+        (edge, 20_u64..7_000).prop_map(|(edge, for_ms)| Fault::EdgeSuspended {
             edge,
             for_ms,
             reads_first: 0,
@@ -220,7 +220,7 @@
 #[case::a_piece_misplaced(Mutation::PieceMisplaced)]
 #[case::an_evacuation_untold(Mutation::EvacuationUntold)]
 #[case::an_evacuation_believed(Mutation::EvacuationBelieved)]
-#[case::a_region_mistold(Mutation::RegionMistold)]
+#[case::a_region_mistold(Mutation::RegionMisreported)]
 fn a_built_in_fault_is_caught(#[case] mutation: Mutation) {
     const SEEDS: u64 = 40;
     let late = |next| Fault::LeaderFalls {
@@ -278,14 +278,14 @@
             std::panic::catch_unwind(play).is_err()
         })
     };
-    assert!(caught(Some(Mutation::RebirthUntold)), "never noticed");
+    assert!(caught(Some(Mutation::RebirthUnreported)), "never noticed");
     assert!(!caught(None));
 }
 
 /// The count of what reaches replicas that warm up fails when a fault is built in.
 #[rstest]
-#[case::a_leave_ignored(Mutation::LeaveIgnored)]
-#[case::a_run_told_unsent(Mutation::SentToldUnsent)]
+#[case::a_permit_ignored(Mutation::PermitIgnored)]
+#[case::a_run_told_unsent(Mutation::SentReportedUnsent)]
 fn a_rate_that_is_exceeded_is_caught(#[case] mutation: Mutation) {
     const SEEDS: u64 = 40;
     let mut strikes = vec![(Fault::Submit(60), 100)];
@@ -310,7 +310,7 @@
 /// Scorings are ordered from an edge that is suspended; it is given up, their job ends, and it
 /// goes on long after that.
 fn played_past_an_end(seed: u64, reads_first: usize, mutation: Option<Mutation>) {
-    let stands = |edge| Fault::EdgeStands {
+    let suspended = |edge| Fault::EdgeSuspended {
         edge,
         for_ms: 7_000,
         reads_first,
@@ -318,8 +318,8 @@
     let mut strikes = vec![(Fault::Submit(40), 1_200)];
     // What a lost edge scored is ordered from others.
     strikes.push((Fault::EdgeEnds(2), 390));
-    strikes.push((stands(0), 10));
-    strikes.push((stands(1), 2_000));
+    strikes.push((suspended(0), 10));
+    strikes.push((suspended(1), 2_000));
     strikes.push((Fault::End, 1_000));
     strikes.push((Fault::End, 9_000));
     play_mutated(seed, false, &strikes, mutation);
@@ -336,7 +336,7 @@
             std::panic::catch_unwind(play).is_err()
         })
     };
-    assert!(is_caught(Some(Mutation::TellingIgnored)));
+    assert!(is_caught(Some(Mutation::RegistrationIgnored)));
     assert!(!is_caught(None));
 }
 
--- a/crates/dispatch/tests/model/carry.rs
+++ b/crates/dispatch/tests/model/carry.rs
@@ -128,14 +128,14 @@
 
     /// The life that a replica reports, or its first where that fault is built in.
     pub(super) fn life_of(&self, replica: &Replica) -> Life {
-        if self.mutation == Some(Mutation::RebirthUntold) && replica.tells {
+        if self.mutation == Some(Mutation::RebirthUnreported) && replica.reports_life {
             return Life::told(replica.first_born);
         }
         replica.life()
     }
 
     /// A replica whose entry has its present life, which is known to be the newest.
-    fn told(&self, id: &str) -> Option<&Replica> {
+    fn known_newest(&self, id: &str) -> Option<&Replica> {
         let mut replicas = self.replicas.iter();
         replicas.find(|one| one.id == id && one.is_life_told && one.is_ordered)
     }
@@ -143,14 +143,14 @@
     /// No run goes to a replica for a version that it lost with its start, once its entry
     /// shows that it started again.
     fn check_loaded(&self, spec: &RunSpec) {
-        let told = self.told(&spec.replica);
-        let lacks = told.is_some_and(|one| one.version < spec.min_version && !one.went_back);
+        let reported = self.known_newest(&spec.replica);
+        let lacks = reported.is_some_and(|one| one.version < spec.min_version && !one.went_back);
         assert!(!lacks, "{} lost what it is believed to hold", spec.replica);
     }
 
     /// No order expects a count of an earlier life.
     fn check_count(&self, replica: &str, expected_orders: u64) {
-        let taken = self.told(replica).map(|one| one.sequence);
+        let taken = self.known_newest(replica).map(|one| one.sequence);
         let is_of_life = taken.is_none_or(|taken| expected_orders <= taken);
         assert!(is_of_life, "{replica} took {taken:?} orders in its life");
     }
--- a/crates/dispatch/tests/model/edge.rs
+++ b/crates/dispatch/tests/model/edge.rs
@@ -8,10 +8,10 @@
 
 /// A run on an edge.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct EdgeRun {
     pub spec: RunSpec,
     pub events: Vec<StreamEvent>,
-    pub told: usize,
+    pub reported: usize,
     pub end: Option<RunEnd>,
     pub scoring: Option<ScoringEnd>,
     /// When the event came from which a pace is counted, and the newest.
@@ -20,7 +20,7 @@
     pub head_until: u64,
 }
 
-impl Held {
+impl EdgeRun {
     pub fn event_came(&mut self, now: u64) {
         let since = self.paced.map_or(now, |(since, _)| since);
         self.paced = Some((since, now));
@@ -43,15 +43,15 @@
     }
 
     pub fn unreported(&mut self) -> Vec<StreamEvent> {
-        let events = self.events[self.told..].to_vec();
-        self.told = self.events.len();
+        let events = self.events[self.reported..].to_vec();
+        self.reported = self.events.len();
         events
     }
 }
 
 /// A scoring call on its way.
 #[derive(Clone, Debug)]
-pub struct Calling {
+pub struct ScoringRun {
     pub attempt: AttemptId,
     pub job: String,
     pub item_id: String,
@@ -84,14 +84,14 @@
     Cancel(u64, AttemptId),
     Recorded(AttemptId),
     /// The work lease lasts until then.
-    Leave(u64),
+    WorkLease(u64),
 }
 
 #[derive(Debug, Default)]
 pub struct Edge {
     pub machine: String,
-    pub held: BTreeMap<AttemptId, Held>,
-    pub calling: Vec<Calling>,
+    pub runs: BTreeMap<AttemptId, EdgeRun>,
+    pub calls: Vec<ScoringRun>,
     pub newest_term: u64,
     pub draining: bool,
     /// Whether its link works; else when it comes back.
@@ -103,9 +103,9 @@
     pub registration: u64,
     pub known_registration: u64,
     /// Until when calls may begin.
-    pub leave_until: u64,
+    pub lease_until: u64,
     /// Since when and until when it is suspended; none: it is not.
-    pub stands: Option<(u64, u64)>,
+    pub suspended: Option<(u64, u64)>,
     /// How many of the messages that waited it reads before it learns that it was given up.
     pub reads_first: usize,
     /// When the leader gives it up, if it does not come back before.
@@ -128,17 +128,17 @@
     }
 
     pub fn reports(&mut self) -> Vec<RunReport> {
-        let held = self.held.iter_mut();
-        let reports = held.map(|(attempt, held)| {
-            held.told = held.events.len();
+        let runs = self.runs.iter_mut();
+        let reports = runs.map(|(attempt, run)| {
+            run.reported = run.events.len();
             RunReport {
                 attempt: *attempt,
-                job: held.spec.job.clone(),
-                item: held.spec.item,
-                replica: held.spec.replica.clone(),
-                events: held.events.clone(),
-                end: held.end,
-                scoring: held.scoring.clone(),
+                job: run.spec.job.clone(),
+                item: run.spec.item,
+                replica: run.spec.replica.clone(),
+                events: run.events.clone(),
+                end: run.end,
+                scoring: run.scoring.clone(),
             }
         });
         reports.collect()
--- a/crates/dispatch/tests/model/fault.rs
+++ b/crates/dispatch/tests/model/fault.rs
@@ -28,7 +28,7 @@
     },
     /// An edge is suspended for so many ms, and messages wait for it; where it was given up it
     /// reads so many of them before it registers its runs.
-    EdgeStands {
+    EdgeSuspended {
         edge: usize,
         for_ms: u64,
         reads_first: usize,
@@ -89,7 +89,7 @@
     /// Edges leave out an event and number the others on.
     EventSkipped,
     /// Edges outside the regions report that they are inside.
-    RegionMistold,
+    RegionMisreported,
     /// Edges never stop a cancelled run.
     CancelIgnored,
     /// Edges score a text before its last event is made.
@@ -109,13 +109,13 @@
     /// Parts of a text are kept at another place than they belong.
     PieceMisplaced,
     /// Edges send a run however late its permit reaches them.
-    LeaveIgnored,
+    PermitIgnored,
     /// Replicas that start again report their first life.
-    RebirthUntold,
+    RebirthUnreported,
     /// Edges report runs that they sent as not sent.
-    SentToldUnsent,
+    SentReportedUnsent,
     /// Edges follow orders that were under way while they registered their runs.
-    TellingIgnored,
+    RegistrationIgnored,
 }
 
 /// Time after which a link that stays broken is given up by the leader, in ms.
@@ -131,11 +131,11 @@
             } => self.leader_falls(next, pause_ms, proposals_kept),
             Fault::EdgeEnds(edge) => self.edge_ends(edge),
             Fault::LinkBreaks { edge, for_ms, late } => self.link_breaks(edge, for_ms, late),
-            Fault::EdgeStands {
+            Fault::EdgeSuspended {
                 edge,
                 for_ms,
                 reads_first,
-            } => self.edge_stands(edge, for_ms, reads_first),
+            } => self.suspend_edge(edge, for_ms, reads_first),
             Fault::EdgeDrains(edge) => self.edge_drains(edge),
             Fault::ReplicaEnds(number) => self.replace_replica(number),
             Fault::ReplicaDark(number, ms) => self.replicas[number].dark_until = self.now + ms,
@@ -203,7 +203,7 @@
         }
         for number in 0..self.edges.len() {
             self.edges[number].lag_ms = 0;
-            if let Some((_, until)) = &mut self.edges[number].stands {
+            if let Some((_, until)) = &mut self.edges[number].suspended {
                 *until = self.now;
             }
             if self.edges[number].draining {
@@ -262,12 +262,12 @@
 
     fn edge_ends(&mut self, number: usize) {
         let edge = &mut self.edges[number];
-        edge.held.clear();
-        edge.calling.clear();
+        edge.runs.clear();
+        edge.calls.clear();
         edge.to_edge.clear();
         edge.newest_term = 0;
-        edge.stands = None;
-        edge.leave_until = 0;
+        edge.suspended = None;
+        edge.lease_until = 0;
         self.link_breaks(number, 300, false);
         for replica in &mut self.replicas {
             replica.streams.retain(|stream| stream.edge != number);
@@ -297,26 +297,26 @@
         }
     }
 
-    fn edge_stands(&mut self, number: usize, for_ms: u64, reads_first: usize) {
+    fn suspend_edge(&mut self, number: usize, for_ms: u64, reads_first: usize) {
         let edge = &mut self.edges[number];
-        if edge.linked && edge.stands.is_none() {
-            edge.stands = Some((self.now, self.now + for_ms));
+        if edge.linked && edge.suspended.is_none() {
+            edge.suspended = Some((self.now, self.now + for_ms));
             edge.reads_first = reads_first;
         }
     }
 
     fn edge_drains(&mut self, number: usize) {
-        if !self.edges[number].linked || self.edges[number].stands.is_some() {
+        if !self.edges[number].linked || self.edges[number].suspended.is_some() {
             return;
         }
         self.edges[number].draining = true;
-        self.tell_draining(number);
-        let held: Vec<_> = self.edges[number].held.keys().copied().collect();
-        for attempt in held {
+        self.report_draining(number);
+        let runs: Vec<_> = self.edges[number].runs.keys().copied().collect();
+        for attempt in runs {
             self.end_run(number, attempt, RunEnd::Cancelled);
         }
-        for calling in std::mem::take(&mut self.edges[number].calling) {
-            self.report_scored(number, calling.attempt, ScoringEnd::Unanswered);
+        for calls in std::mem::take(&mut self.edges[number].calls) {
+            self.report_scored(number, calls.attempt, ScoringEnd::Unanswered);
         }
     }
 
@@ -330,8 +330,8 @@
         };
         let mut fresh = Replica::new(number, self.incarnations, SLOTS, version);
         fresh.checks_count = self.replicas[number].checks_count;
-        fresh.tells = self.replicas[number].tells;
-        fresh.is_ordered = fresh.tells;
+        fresh.reports_life = self.replicas[number].reports_life;
+        fresh.is_ordered = fresh.reports_life;
         self.replicas[number] = fresh;
         self.view_changed();
     }
@@ -353,14 +353,14 @@
         replica.start_again(born, keeps);
         replica.told_from = now + entry_ms;
         // Which of two lives is the newer can't be known for a while, or ever.
-        replica.is_ordered = replica.tells && !back;
+        replica.is_ordered = replica.reports_life && !back;
         self.view_changed();
     }
 
     /// The last report of the life that ends comes late.
     fn report_late(&mut self, number: usize) {
         let replica = &self.replicas[number];
-        if !replica.tells {
+        if !replica.reports_life {
             return;
         }
         let life = self.life_of(replica);
--- a/crates/dispatch/tests/model/mod.rs
+++ b/crates/dispatch/tests/model/mod.rs
@@ -1,11 +1,14 @@
 //! A leader's dispatcher before simulated edges and replicas, with a log whose
 //! entries commit later, or not at all when the leader falls.
 
+mod calls;
 mod carry;
 mod edge;
 mod fault;
+mod messages;
 mod oracle;
 mod replica;
+mod streams;
 mod time;
 
 pub use fault::{Fault, Mutation};
@@ -164,7 +167,7 @@
         }
         // A fleet may be mixed: one replica of it reports no life.
         if seed.is_multiple_of(4) {
-            world.replicas[REPLICAS - 1].tells = false;
+            world.replicas[REPLICAS - 1].reports_life = false;
             world.replicas[REPLICAS - 1].is_ordered = false;
         }
         world.renew_view();
@@ -290,11 +293,11 @@
         self.view.replicas = Arc::new(replicas.collect());
         for replica in &mut self.replicas {
             // Requests sent before the view had it arrive within the longest lag.
-            let told = self.now + LONGEST_LAG + 2 * STEP_MS;
+            let known_at = self.now + LONGEST_LAG + 2 * STEP_MS;
             let is_entry_told = self.now >= replica.told_from;
             replica.is_life_told |= is_entry_told;
             if replica.is_warming(self.now) && replica.bounded_from == u64::MAX && is_entry_told {
-                replica.bounded_from = told;
+                replica.bounded_from = known_at;
             }
         }
         let untold = self.replicas.iter().map(|one| one.told_from);
@@ -411,7 +414,7 @@
         }
         self.run(1_500);
         let load = self.dispatcher.as_ref().expect("a leader").load();
-        // A lease may have held a load back until now.
+        // A lease may have delayed a load until now.
         let free = places - SLOTS * load.orders;
         let counts = (load.running, load.waiting);
         assert_eq!(counts, (free, places - free), "places are lost: {load:?}");
@@ -472,8 +475,8 @@
         self.dispatcher = Some(dispatcher);
         for number in 0..self.edges.len() {
             self.edges[number].newest_term = self.term;
-            if self.edges[number].linked && self.edges[number].stands.is_none() {
-                self.tell_runs(number);
+            if self.edges[number].linked && self.edges[number].suspended.is_none() {
+                self.register_runs(number);
             }
         }
     }
--- a/crates/dispatch/tests/model/oracle.rs
+++ b/crates/dispatch/tests/model/oracle.rs
@@ -265,7 +265,7 @@
             let job = table.job(&submission.id).expect("an accepted job is kept");
             let mut seen = BTreeSet::new();
             for (item, _) in &job.results {
-                assert!(seen.insert(*item), "{item} stands twice");
+                assert!(seen.insert(*item), "{item} is listed twice");
             }
             assert_eq!(job.items.len(), submission.items.len());
             for (item, outcome) in &job.results {
--- a/crates/dispatch/tests/model/replica.rs
+++ b/crates/dispatch/tests/model/replica.rs
@@ -55,7 +55,7 @@
     /// Lives under its id so far.
     pub lives: u64,
     /// Whether it reports its lives at all.
-    pub tells: bool,
+    pub reports_life: bool,
     /// Until when its entry is the one of the life before.
     pub told_from: u64,
     /// Its entry has its present life, which can be known to be the newest.
@@ -88,7 +88,7 @@
             born: FIRST_BORN,
             first_born: FIRST_BORN,
             lives: 1,
-            tells: true,
+            reports_life: true,
             told_from: 0,
             is_life_told: false,
             is_ordered: true,
@@ -122,7 +122,7 @@
 
     /// The life that it reports.
     pub fn life(&self) -> Life {
-        if self.tells {
+        if self.reports_life {
             Life::told(self.born)
         } else {
             Life::UNKNOWN
