--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -57,7 +57,7 @@
 impl ReplicaInfo {
     /// Whether another entry of this replica is the same but for the weights that it serves, which
     /// change with every load: edges act on all else.
-    pub fn takes_work_like(&self, other: &Self) -> bool {
+    pub(crate) fn takes_work_like(&self, other: &Self) -> bool {
         self.life == other.life
             && self.service == other.service
             && self.address == other.address
@@ -172,8 +172,8 @@
         !self.needs_evacuated || self.evacuated_revision > 0
     }
 
-    /// A view with what is known of evacuated zones and nothing else: merged into another it changes
-    /// nothing else.
+    /// A view with what is known of evacuated zones and nothing else: merged into another it
+    /// changes nothing else.
     pub fn evacuated_part(&self) -> Self {
         Self {
             evacuated: Arc::clone(&self.evacuated),
