--- a/crates/cluster/src/client.rs
+++ b/crates/cluster/src/client.rs
@@ -1,6 +1,8 @@
-//! Calls to services outside: one after another on a kept connection.
+//! Calls to services of the platform: one after another on a kept connection.
+//!
+//! Owns the connection. The caller decides on timeouts and on another attempt.
 
-use crate::link::prepare;
+use crate::socket::prepare;
 use bytes::Bytes;
 use displaydoc::Display;
 use http_body_util::{BodyExt, Full};
@@ -13,8 +15,9 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time to connect: a few round trips and one lost packet.
-const CONNECT_TIME: Duration = Duration::from_millis(700);
+/// Longest time to connect to a service outside: a few round trips and one lost packet. Not
+/// measured.
+const SERVICE_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Why a call has no answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -94,7 +97,8 @@
         {
             return Ok(kept);
         }
-        let connecting = tokio::time::timeout(CONNECT_TIME, TcpStream::connect(self.address));
+        let connecting =
+            tokio::time::timeout(SERVICE_CONNECT_TIMEOUT, TcpStream::connect(self.address));
         let Ok(Ok(stream)) = connecting.await else {
             return Err(CallError::NotSent);
         };
@@ -102,13 +106,14 @@
         let shaken = handshake(TokioIo::new(stream)).await;
         let (sender, driver) = shaken.map_err(|_| CallError::NotSent)?;
         tokio::task::spawn_local(async move {
+            // A connection that breaks fails its call, which reports it.
             let _ = driver.await;
         });
         Ok(sender)
     }
 }
 
-/// A name within a path or a query, whatever stands in it.
+/// A name as part of a path or a query: all but unreserved characters and `:` is escaped.
 pub fn escape(name: &str) -> String {
     let mut escaped = String::with_capacity(name.len());
     for byte in name.bytes() {
--- a/crates/cluster/src/edge/evacuation.rs
+++ b/crates/cluster/src/edge/evacuation.rs
@@ -1,4 +1,5 @@
-//! Evacuated zones at an edge: what is in force here, and registration a leader that lacks it.
+//! Evacuated zones at an edge: what is in force here is logged, counted, and reported to a leader
+//! that lacks it. Relies on the view; owns no state.
 
 use super::process::Edge;
 use brasspond_cluster_protocol::Message;
@@ -6,7 +7,7 @@
 use brasspond_fleet::FleetView;
 
 impl Edge {
-    /// Notes in log and metrics what changed of evacuated zones.
+    /// Records in log and metrics what changed of evacuated zones.
     pub(super) fn observe_evacuations(&self, view: &FleetView) {
         let now = self.clock.now();
         let mut evacuations = self.fleet.evacuations.borrow_mut();
@@ -20,22 +21,23 @@
         metrics.evacuated(known, evacuations.zones(), out.count());
     }
 
-    /// Tells the leader what this edge heard from the view's source of evacuated zones, where
-    /// the leader has not told it: its own calls may fail. The other parts of the view may
-    /// wait for the next look ([`Edge::send_what_leader_lacks`]), 0.75 to 1 s; this may not,
+    /// Reports to the leader the evacuated zones that this edge read at the view's source, where
+    /// the leader has not announced them: its own calls may fail. The other parts of the view may
+    /// wait for the next check ([`Edge::send_what_leader_lacks`]), 0.75 to 1 s; this part may not,
     /// and is of some bytes.
     pub(super) fn report_source_evacuations(&self) {
         let view = self.fleet.view.borrow();
-        let told = self.fleet.leader_view.borrow();
-        let is_told = told.as_ref().is_some_and(|told| {
-            told.evacuated_revision >= view.evacuated_revision || view.evacuates_like(told)
+        let leader_view = self.fleet.leader_view.borrow();
+        let is_announced = leader_view.as_ref().is_some_and(|leader_view| {
+            leader_view.evacuated_revision >= view.evacuated_revision
+                || view.evacuates_like(leader_view)
         });
-        if !is_told {
+        if !is_announced {
             self.send_evacuated(&view);
         }
     }
 
-    /// Tells a new leader what is known here: it believes nothing from before its term.
+    /// Reports to a new leader what is known here: it does not rely on what is from before its term.
     pub(super) fn report_evacuations(&self) {
         self.send_evacuated(&self.fleet.view.borrow());
     }
--- /dev/null
+++ b/crates/cluster/src/edge/job_calls.rs
@@ -0,0 +1,230 @@
+//! Calls about jobs: handed in, read, ended. The log's members answer them.
+//!
+//! Owns no state. Relies on [`super::questions`] for the members' answers.
+
+use super::answers::{Body, json, plain, uncertain};
+use super::forward::Admitted;
+use super::front::deny;
+use super::headers::host_of;
+use super::process::Edge;
+use super::questions::AskError;
+use super::residency::RegionRefusal;
+use super::retry_after::Lack;
+use crate::clock::Moment;
+use crate::platform::Call;
+use brasspond_cluster_protocol::{Answer, Question};
+use brasspond_jobs::Submission;
+use bytes::Bytes;
+use hyper::http::request::Parts;
+use hyper::{Response, StatusCode};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Longest time of a call that hands a job in or ends it. Not measured.
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Longest time of a read beyond the wait that it asks for: callers go away 1.5 s beyond it, and
+/// one that goes away without an answer has lost that time.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time without a leader after which a read is answered 503, in ms: the caller asks
+/// another edge. This one may be isolated.
+const READ_LEADERLESS_LIMIT_MS: u64 = 400;
+/// The same for calls that hand a job in or end it, in ms: longer than most elections,
+/// since what is sent again may be large.
+const CHANGE_LEADERLESS_LIMIT_MS: u64 = 1_500;
+/// Longest wait of a long poll of results, in ms: as long as callers ask for by the platform's
+/// protocol.
+const LONGEST_POLL_MS: u64 = 1_000;
+
+/// The tenant that makes a call about a job.
+pub(super) async fn admit_job_call(
+    edge: &Edge,
+    head: &Parts,
+) -> Result<Option<Arc<str>>, Box<Response<Body>>> {
+    let Some(index) = edge.known_index(&head.headers).await else {
+        return Err(Box::new(edge.turn_away(Lack::Configuration, 0)));
+    };
+    let credential = edge.platform.wire.credential(&head.headers);
+    let is_public = index.has_public_jobs(&host_of(head));
+    match index.admit(credential, is_public) {
+        Ok(tenant) => Ok(tenant.map(|tenant| Arc::clone(&tenant.name))),
+        Err(denial) => {
+            let version = index.configuration().version;
+            Err(Box::new(deny(edge, head, denial, version)))
+        }
+    }
+}
+
+/// Answers a call about a job.
+pub(super) async fn job_call(
+    edge: &Rc<Edge>,
+    call: Call,
+    tenant: Option<Arc<str>>,
+) -> Response<Body> {
+    match call {
+        Call::Results {
+            job,
+            since,
+            wait_ms,
+        } => {
+            let wait_ms = wait_ms.min(LONGEST_POLL_MS);
+            let question = Question::Results {
+                job,
+                since,
+                wait_ms,
+                tenant,
+            };
+            results(edge, question, wait_ms).await
+        }
+        Call::Body { job, item } => item_body(edge, Question::Body { job, item, tenant }).await,
+        Call::End { job } => end(edge, Question::End { job, tenant }).await,
+        Call::Unknown | Call::Request => plain(StatusCode::NOT_FOUND, Bytes::new()),
+    }
+}
+
+/// A call about a job, for log and metrics.
+pub(super) struct JobCall {
+    name: &'static str,
+    job: String,
+}
+
+impl JobCall {
+    /// None: the call is not about a job.
+    pub fn of(call: &Call) -> Option<Self> {
+        let (name, job) = match call {
+            Call::Results { job, .. } => ("results", job),
+            Call::Body { job, .. } => ("body", job),
+            Call::End { job } => ("end", job),
+            Call::Unknown | Call::Request => return None,
+        };
+        Some(Self {
+            name,
+            job: job.clone(),
+        })
+    }
+
+    /// Logs and counts the call's answer.
+    pub fn log(&self, edge: &Edge, status: StatusCode, begun: Moment) {
+        let elapsed = begun.elapsed();
+        let code = status.as_u16();
+        edge.metrics
+            .job_call(self.name, &code.to_string(), elapsed.as_secs_f64());
+        if !status.is_success() || self.name == "end" {
+            log::info!(
+                "event=job_call call={} job={} status={code} elapsed_ms={} leader_known={}",
+                self.name,
+                self.job,
+                elapsed.as_millis(),
+                edge.storage.borrow().contact.leader().is_some()
+            );
+        }
+    }
+}
+
+/// Hands a job in: answers 202 once a quorum keeps it.
+pub(super) async fn submit(
+    edge: &Rc<Edge>,
+    head: &Parts,
+    admitted: &Admitted<'_>,
+    body: &[u8],
+    arrived: Moment,
+) -> Response<Body> {
+    let names = edge.platform.wire.names();
+    let id = head.headers.get(&names.request_id);
+    let Some(id) = id.and_then(|id| id.to_str().ok()) else {
+        return plain(StatusCode::BAD_REQUEST, Bytes::new());
+    };
+    let parsed = edge
+        .platform
+        .wire
+        .submission(id, &host_of(head), head.uri.path(), body);
+    let submission = match parsed {
+        Ok(submission) => Submission {
+            tenant: admitted.tenant.map(|tenant| Arc::clone(&tenant.name)),
+            ..submission
+        },
+        Err(problem) => {
+            log::info!("event=job_refused job={id} problem=\"{problem}\"");
+            return plain(StatusCode::BAD_REQUEST, Bytes::from(problem));
+        }
+    };
+    if let Err(outside) = edge.check_bodies(admitted.route, &submission) {
+        return edge.refuse_outside(id, admitted.route, outside);
+    }
+    let deadline = arrived + CHANGE_TIMEOUT;
+    let question = Question::Submit(submission);
+    let answer = edge
+        .ask(
+            question,
+            Duration::ZERO,
+            deadline,
+            CHANGE_LEADERLESS_LIMIT_MS,
+        )
+        .await;
+    let (outcome, response) = answer_of_submit(edge, id, admitted, answer);
+    let elapsed = arrived.elapsed();
+    log::info!(
+        "event=job_call call=submit job={id} outcome={outcome} status={} elapsed_ms={}",
+        response.status().as_u16(),
+        elapsed.as_millis()
+    );
+    edge.metrics
+        .job_call("submit", outcome, elapsed.as_secs_f64());
+    response
+}
+
+/// Outcome and answer of a job that was handed in.
+fn answer_of_submit(
+    edge: &Edge,
+    id: &str,
+    admitted: &Admitted<'_>,
+    answer: Result<Answer, AskError>,
+) -> (&'static str, Response<Body>) {
+    match answer {
+        Ok(Answer::Done) => ("taken", plain(StatusCode::ACCEPTED, Bytes::new())),
+        Ok(Answer::Taken) => ("other_tenant", plain(StatusCode::CONFLICT, Bytes::new())),
+        Ok(Answer::Evacuated) => ("evacuated", edge.turn_away(Lack::Zone, 0)),
+        Ok(Answer::OutsideRegions) => (
+            "outside_regions",
+            edge.refuse_outside(id, admitted.route, RegionRefusal::Members),
+        ),
+        Err(AskError::NotAsked) => ("no_leader", edge.turn_away(Lack::Leader, 0)),
+        Ok(_) | Err(AskError::Uncertain) => ("unknown", uncertain(StatusCode::GATEWAY_TIMEOUT)),
+    }
+}
+
+async fn results(edge: &Rc<Edge>, question: Question, wait_ms: u64) -> Response<Body> {
+    let wait = Duration::from_millis(wait_ms);
+    let deadline = Moment::now() + wait + READ_TIMEOUT;
+    let answer = edge.ask_results(question, wait, deadline, READ_LEADERLESS_LIMIT_MS);
+    match answer.await {
+        Ok(Answer::Page(Some(page))) => json(edge.platform.wire.page(&page)),
+        Ok(Answer::Page(None)) => plain(StatusCode::NOT_FOUND, Bytes::new()),
+        Ok(_) | Err(_) => edge.turn_away(Lack::Answer, 0),
+    }
+}
+
+async fn item_body(edge: &Rc<Edge>, question: Question) -> Response<Body> {
+    let deadline = Moment::now() + READ_TIMEOUT;
+    let answer = edge.ask(question, Duration::ZERO, deadline, READ_LEADERLESS_LIMIT_MS);
+    match answer.await {
+        Ok(Answer::Body(Ok(body))) => plain(StatusCode::OK, body),
+        Ok(Answer::Body(Err(_))) => plain(StatusCode::NOT_FOUND, Bytes::new()),
+        Ok(_) | Err(_) => edge.turn_away(Lack::Answer, 0),
+    }
+}
+
+async fn end(edge: &Rc<Edge>, question: Question) -> Response<Body> {
+    let deadline = Moment::now() + CHANGE_TIMEOUT;
+    let answer = edge.ask(
+        question,
+        Duration::ZERO,
+        deadline,
+        CHANGE_LEADERLESS_LIMIT_MS,
+    );
+    match answer.await {
+        Ok(Answer::Done) => plain(StatusCode::OK, Bytes::new()),
+        Ok(Answer::Page(None)) => plain(StatusCode::NOT_FOUND, Bytes::new()),
+        Ok(_) | Err(_) => edge.turn_away(Lack::Answer, 0),
+    }
+}
--- a/crates/cluster/src/edge/leader_messages.rs
+++ b/crates/cluster/src/edge/leader_messages.rs
@@ -4,10 +4,30 @@
 //! owns its subject.
 
 use super::process::Edge;
-use super::storage_links::LinkAction;
-use brasspond_cluster_protocol::{Kind, Message};
+use crate::link::LinkId;
+use brasspond_cluster_protocol::{AttemptId, Kind, Message, RunSpec, ScoringSpec};
+use brasspond_fleet::{FleetView, ViewDelta};
+use brasspond_metering::WindowNumber;
+use brasspond_quarantine::CasesUpdate;
+use brasspond_units::WallMillis;
 use std::rc::Rc;
 
+/// What the event loop is to do for a message.
+pub(super) enum LinkAction {
+    NewLeader(u64),
+    /// The leader of this term does not know this edge's runs.
+    RegisterRuns(u64),
+    /// True time, and the newest usage window that is closed.
+    Time(Option<WallMillis>, Option<WindowNumber>),
+    View(FleetView),
+    ViewChanged(ViewDelta, LinkId),
+    Run(Box<RunSpec>),
+    Score(Box<ScoringSpec>),
+    Cancel(u64, AttemptId),
+    Recorded(AttemptId),
+    Quarantine(CasesUpdate),
+}
+
 impl Edge {
     /// Sends the leader all that it needs of this edge.
     fn report_all(&self, term: u64) {
--- a/crates/cluster/src/edge/member_search.rs
+++ b/crates/cluster/src/edge/member_search.rs
@@ -5,6 +5,7 @@
 
 use super::process::Edge;
 use crate::clock::within;
+use crate::member_question::ask_members;
 use crate::platform::RegistryError;
 use std::rc::Rc;
 use std::time::Duration;
@@ -90,7 +91,7 @@
         if *seed == edge.settings.process.cluster_address {
             continue;
         }
-        if let Some(members) = crate::link::ask_members(*seed).await {
+        if let Some(members) = ask_members(*seed).await {
             let known = edge.storage.borrow().known_peers();
             let mut storage = edge.storage.borrow_mut();
             for member in members {
--- a/crates/cluster/src/edge/mod.rs
+++ b/crates/cluster/src/edge/mod.rs
@@ -14,6 +14,7 @@
 mod front;
 mod headers;
 mod item_run;
+mod job_calls;
 mod leader_contact;
 mod leader_messages;
 mod member_search;
--- a/crates/cluster/src/edge/pace.rs
+++ b/crates/cluster/src/edge/pace.rs
@@ -3,7 +3,7 @@
 use crate::clock::Moment;
 use brasspond_cluster_protocol::Pace;
 
-/// Collects the times of events until enough of them tell a pace.
+/// Collects the times of events until there are enough for a pace.
 #[derive(Debug, Default)]
 pub(super) struct PaceMeter {
     /// The event that began the span; it does not count itself.
@@ -22,7 +22,7 @@
         self.newest = Some(now);
     }
 
-    /// The pace since it was last told; the newest event begins the next span.
+    /// The pace since the last call that returned one; the newest event begins the next span.
     ///
     /// None while fewer than [`Pace::LEAST_EVENTS`] came: they count on, so that a
     /// replica whose events take longer than the pause between two reports is
--- a/crates/cluster/src/edge/permits.rs
+++ b/crates/cluster/src/edge/permits.rs
@@ -189,8 +189,8 @@
     /// Whether the leader announced the same of a replica's warm-up as is known here.
     fn leader_knows(&self, replica: &str) -> bool {
         let view = self.fleet.view.borrow();
-        let told = self.fleet.leader_view.borrow();
-        let told = told.as_ref();
-        told.is_some_and(|told| view.tells_warming_like(told, replica))
+        let leader_view = self.fleet.leader_view.borrow();
+        let leader_view = leader_view.as_ref();
+        leader_view.is_some_and(|leader_view| view.tells_warming_like(leader_view, replica))
     }
 }
--- a/crates/cluster/src/edge/process.rs
+++ b/crates/cluster/src/edge/process.rs
@@ -8,7 +8,7 @@
 use super::storage_links::StorageLinks;
 use super::usage::UsageReporter;
 use super::{front, leader_messages, member_search, ready};
-use crate::clock::{Clock, Standstill};
+use crate::clock::{Clock, SuspensionDetector};
 use crate::link::{LinkContext, LinkEvent, TRAFFIC_PAUSE, accept_links};
 use crate::platform::Platform;
 use crate::settings::{EdgeSettings, ProcessSettings};
@@ -149,7 +149,7 @@
 async fn handle_events(edge: &Rc<Edge>, mut events: Events) {
     let mut observed = edge.platform.observed.clone();
     edge.set_interest(edge.clock.now());
-    let mut standstill = Standstill::new(edge.clock.now());
+    let mut suspension = SuspensionDetector::new(edge.clock.now());
     let mut tick = ticks();
     loop {
         tokio::select! {
@@ -162,7 +162,7 @@
                 edge.report_source_evacuations();
             }
             _ = tick.tick() => {
-                if let Some(gap) = standstill.look(edge.clock.now()) {
+                if let Some(gap) = suspension.tick(edge.clock.now()) {
                     log::warn!("event=stood_still role=edge gap_ms={gap}");
                 }
                 edge.tick();
--- a/crates/cluster/src/edge/questions.rs
+++ b/crates/cluster/src/edge/questions.rs
@@ -79,7 +79,7 @@
     }
 
     /// Asks the leader, and again until `deadline`. Gives up once no leader was known for
-    /// `leaderless_limit_ms`. The answer may be held for `wait`.
+    /// `leaderless_limit_ms`. The answer may come `wait` later, as for a long poll.
     ///
     /// # Errors
     /// Whether a leader may have done what was asked.
--- a/crates/cluster/src/edge/reader.rs
+++ b/crates/cluster/src/edge/reader.rs
@@ -1,8 +1,8 @@
-//! At which storage process an edge reads results.
+//! Which storage process an edge reads results at: a pure choice.
 //!
 //! The nearest one, so that texts pass between zones and regions with the log, once a
 //! member, and not once a reader. Edges that have several equally near are spread over
-//! them. Whether the chosen one may answer is its own to say; else the leader is asked.
+//! them. The chosen one says itself whether it may answer; else the leader is asked.
 
 use crate::link::LinkContext;
 use brasspond_cluster_protocol::Peer;
@@ -28,7 +28,7 @@
     nearest.map(|(_, _, member)| member)
 }
 
-/// A number by which edges differ in whom they take of equals, the same at each look.
+/// A number by which edges differ in whom they take of equals, the same each time.
 fn affinity(own: &Peer, member: &Member) -> u64 {
     let mut hasher = DefaultHasher::new();
     if let Peer::Edge { machine, .. } = own {
--- a/crates/cluster/src/edge/ready.rs
+++ b/crates/cluster/src/edge/ready.rs
@@ -1,4 +1,7 @@
-//! Readiness, as the platform asks for it.
+//! Readiness, as the platform asks for it, and whether callers' connections can be accepted.
+//!
+//! Owns the time since when no connection could be accepted. Relies on the leader contact and
+//! the view's source for whether this edge is isolated.
 
 use super::process::Edge;
 use bytes::Bytes;
@@ -10,25 +13,29 @@
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpListener;
 
 /// Time without a leader after which an edge that does not hear the view's source
-/// either counts as cut off, in ms: longer than an election, and a second longer than
+/// either counts as isolated, in ms: longer than an election, and a second longer than
 /// an edge waits before it asks the source.
-const CUT_OFF_TIME: u64 = 2_000;
+const ISOLATED_AFTER_MS: u64 = 2_000;
 
 /// Time without a new connection, though some wait, after which an edge is not ready, in ms:
-/// two questions of the platform, which come each second, are to be missed within the 3 s in
-/// which it expects new connections to be taken.
-const STUCK_TIME: u64 = 300;
-/// Pause between two times at which connections are closed to make room, in ms.
-const RELIEF_PAUSE: u64 = 500;
+/// two probes of the platform, which come each second, are to fail within the 3 s in which it
+/// expects new connections to be accepted.
+const STUCK_AFTER_MS: u64 = 300;
+/// Pause before the next probe is accepted where one could not be. Not measured.
+const PROBE_ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Pause between two times at which connections are closed to make room, in ms. Not measured.
+const RELIEF_PAUSE_MS: u64 = 500;
 
 /// Answers 200 while this edge takes new connections, else 503.
 pub(super) async fn serve(edge: Rc<Edge>, listener: TcpListener) {
     loop {
+        // A probe that cannot be accepted fails; why, the accept of callers' connections logs.
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(std::time::Duration::from_millis(50)).await;
+            tokio::time::sleep(PROBE_ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         let edge = Rc::clone(&edge);
@@ -44,6 +51,7 @@
                 async move { Ok::<_, Infallible>(response) }
             });
             let io = TokioIo::new(stream);
+            // How a probe's connection ends says nothing of this edge.
             let _ = http1::Builder::new().serve_connection(io, service).await;
         });
     }
@@ -73,7 +81,7 @@
         if is_first {
             self.failing_since.set(Some(now));
         }
-        let is_due = is_first || now >= self.relieved_at.get() + RELIEF_PAUSE;
+        let is_due = is_first || now >= self.relieved_at.get() + RELIEF_PAUSE_MS;
         if is_due {
             self.relieved_at.set(now);
         }
@@ -83,31 +91,30 @@
     /// Whether none could be accepted for so long that callers should go elsewhere.
     pub fn is_stuck(&self, now: u64) -> bool {
         let since = self.failing_since.get();
-        since.is_some_and(|since| now >= since + STUCK_TIME)
+        since.is_some_and(|since| now >= since + STUCK_AFTER_MS)
     }
 }
 
 impl Edge {
     /// Whether this edge can serve: it knows a configuration and which zones are evacuated,
-    /// is not about to stop, accepts connections, and is not cut off from all others. One
-    /// that said it was ready while its descriptors were used up was handed callers that
-    /// waited for nothing.
+    /// is not about to stop, accepts connections, and is not isolated. One that cannot accept
+    /// connections must not be ready: callers would wait for nothing.
     pub(super) fn is_ready(&self) -> bool {
         let view = self.fleet.view.borrow();
         let knows = view.configuration.is_some() && view.knows_evacuated();
         let is_stuck = self.callers.accepting.is_stuck(self.clock.now());
-        !self.callers.is_draining() && !is_stuck && knows && !self.is_cut_off()
+        !self.callers.is_draining() && !is_stuck && knows && !self.is_isolated()
     }
 
     /// Whether neither a leader nor the view's source is heard: without a leader an
     /// edge asks the source by itself.
-    pub(super) fn is_cut_off(&self) -> bool {
-        let alone = self
+    pub(super) fn is_isolated(&self) -> bool {
+        let leaderless_ms = self
             .storage
             .borrow_mut()
             .contact
             .leaderless_for(self.clock.now());
         let source_answers = self.platform.observed.borrow().reachable;
-        alone >= CUT_OFF_TIME && !source_answers
+        leaderless_ms >= ISOLATED_AFTER_MS && !source_answers
     }
 }
--- a/crates/cluster/src/edge/refusal.rs
+++ b/crates/cluster/src/edge/refusal.rs
@@ -1,6 +1,6 @@
-//! Requests that no replica answered: what their attempts came to, and what the caller is told.
+//! Requests that no replica answered: what their attempts came to, and what the caller is answered.
 //!
-//! A caller is told that it may send the request again only where no replica can have run it.
+//! The answer says that the caller may send the request again only where no replica can have run it.
 
 use super::answers::{Body, passed_on, uncertain, whole};
 use super::attempt_error::{AttemptError, WholeAnswer};
--- a/crates/cluster/src/edge/residency.rs
+++ b/crates/cluster/src/edge/residency.rs
@@ -1,5 +1,5 @@
-//! Requests that may be nowhere, or not where they would go: refused before their bodies are
-//! read.
+//! Requests whose data may be nowhere, or not where it would go: refused before their bodies are
+//! read. Relies on the configuration for regions, on the links for where members of the log are.
 
 use super::answers::Body;
 use super::front::request_id;
@@ -16,9 +16,9 @@
 pub(super) enum RegionRefusal {
     /// Its route and its tenant share no region.
     NoRegionShared,
-    /// Members of the log stand elsewhere.
+    /// Members of the log are in other regions.
     Members,
-    /// Nobody told yet where members of the log stand.
+    /// No leader announced yet where members of the log are.
     MembersUnknown,
 }
 
@@ -80,7 +80,7 @@
         })
     }
 
-    /// Checks a job with the scoring calls that it brings, and members as they stand now.
+    /// Checks a job with the scoring calls that it brings, by the members as they are now.
     ///
     /// # Errors
     /// Why it is refused.
--- a/crates/cluster/src/edge/retry_after.rs
+++ b/crates/cluster/src/edge/retry_after.rs
@@ -32,7 +32,7 @@
 /// Pause before a caller tries again while all zones of a service are evacuated: the end of an
 /// evacuation is known to every edge within this.
 const EVACUATED_TIME: Duration = Duration::from_millis(1_000);
-/// Time until members of the log may stand in regions that were bound a moment ago: each is
+/// Time until the members of the log are in regions that were bound a moment ago: each is
 /// replaced within some tenths of a second once its successor has the log.
 const MEMBERS_TIME: Duration = Duration::from_millis(2_000);
 /// Time until a replica may come where the regions of a request have none, or its route and
--- a/crates/cluster/src/edge/storage_links.rs
+++ b/crates/cluster/src/edge/storage_links.rs
@@ -4,16 +4,13 @@
 //! contact with the leader. A message becomes a [`LinkAction`] for the event loop.
 
 use super::leader_contact::LeaderContact;
+use super::leader_messages::LinkAction;
 use super::reader;
 use super::work_lease::WorkLease;
 use crate::link::{LinkContext, LinkEvent, LinkId, Writer, dial};
-use brasspond_cluster_protocol::{
-    Answer, AttemptId, Message, Peer, Question, Registration, RunSpec, ScoringSpec,
-};
+use brasspond_cluster_protocol::{Answer, AttemptId, Message, Peer, Question, Registration};
 use brasspond_consensus::Member;
-use brasspond_fleet::{FleetView, Regions, ViewDelta};
-use brasspond_metering::WindowNumber;
-use brasspond_quarantine::CasesUpdate;
+use brasspond_fleet::Regions;
 use brasspond_units::WallMillis;
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -36,22 +33,6 @@
     address: SocketAddr,
 }
 
-/// What the event loop is to do for a message.
-pub(super) enum LinkAction {
-    NewLeader(u64),
-    /// The leader of this term does not know this edge's runs.
-    RegisterRuns(u64),
-    /// True time, and the newest usage window that is closed.
-    Time(Option<WallMillis>, Option<WindowNumber>),
-    View(FleetView),
-    ViewChanged(ViewDelta, LinkId),
-    Run(Box<RunSpec>),
-    Score(Box<ScoringSpec>),
-    Cancel(u64, AttemptId),
-    Recorded(AttemptId),
-    Quarantine(CasesUpdate),
-}
-
 /// Links to storage processes, and what is under way on them.
 pub(super) struct StorageLinks {
     hello: Peer,
--- a/crates/cluster/src/link.rs
+++ b/crates/cluster/src/link.rs
@@ -3,44 +3,38 @@
 //! A link carries frames both ways. The side that opens it says who it is and
 //! opens it again when it breaks. What arrives goes into one bounded queue of
 //! events, so that a process handles everything in one place.
+//!
+//! Owns no state beyond each link's task. [`crate::link_writer`] writes to a link,
+//! [`crate::link_context`] keeps what all links of a process share.
 
 use crate::clock::Moment;
-use brasspond_cluster_protocol::{FrameBuffer, Kind, Message, Peer, encode};
-use brasspond_distance::Distance;
-use bytes::Bytes;
-use socket2::{SockRef, TcpKeepalive};
-use std::cell::Cell;
+use crate::link_writer::start_writer;
+use crate::socket::prepare;
+use brasspond_cluster_protocol::{FrameBuffer, Message, Peer};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::io::AsyncReadExt;
+use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-pub use crate::link_context::{LinkContext, TRAFFIC_PAUSE};
+pub(crate) use crate::link_context::{LinkContext, TRAFFIC_PAUSE};
+pub(crate) use crate::link_writer::{Writer, shared_frame};
 
-/// Bytes waiting to be written to one link; more are dropped.
-const MOST_WAITING: usize = 4 * 1024 * 1024;
-/// Frames waiting to be written to one link; more are dropped.
-const WRITE_QUEUE: usize = 4_096;
-/// Time to connect.
-const CONNECT_TIME: Duration = Duration::from_millis(600);
-/// Pause between two attempts to connect.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(150);
-/// Unacknowledged bytes for this long break a link.
-const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause between probes of a connection at rest.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
-/// Bytes read at a time.
+/// Longest time to connect to a process of the cluster. Not measured.
+const LINK_CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Pause before a link is opened or accepted again. Not measured.
+const LINK_RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Bytes read at a time. Not measured.
 const READ_BYTES: usize = 32 * 1024;
 
 /// Identity of a link within a process.
-pub type LinkId = u64;
+pub(crate) type LinkId = u64;
 
 /// What happens on links.
 #[derive(Debug)]
-pub enum LinkEvent {
+pub(crate) enum LinkEvent {
     /// A link is up. For links opened by others, the peer said who it is.
     Up {
         /// The link.
@@ -63,8 +57,6 @@
     Down {
         /// The link.
         link: LinkId,
-        /// The other side's address.
-        address: SocketAddr,
     },
     /// The other side's process does not listen.
     Refused {
@@ -73,91 +65,8 @@
     },
 }
 
-/// Writes frames to a link without ever waiting.
-#[derive(Clone, Debug)]
-pub struct Writer {
-    queue: mpsc::Sender<Bytes>,
-    waiting: Rc<Cell<usize>>,
-    /// How far the peer is; none before it said who it is.
-    distance: Rc<Cell<Option<Distance>>>,
-    context: Rc<LinkContext>,
-}
-
-impl Writer {
-    /// One that writes nowhere.
-    #[cfg(test)]
-    pub fn detached() -> Self {
-        let (queue, _) = mpsc::channel(1);
-        let place = brasspond_distance::Place::new("zone", None);
-        Self {
-            queue,
-            waiting: Rc::default(),
-            distance: Rc::default(),
-            context: Rc::new(LinkContext::new(place)),
-        }
-    }
-
-    /// Queues a message; false if the queue is full or the link is down.
-    pub fn send(&self, message: &Message) -> bool {
-        self.send_frame(Kind::of(message), encode(message))
-    }
-
-    /// Queues a frame encoded before, of this kind. A peer that does not read is sent no more
-    /// than a bounded number of bytes; whoever sends asks again.
-    pub fn send_frame(&self, kind: Kind, frame: Bytes) -> bool {
-        let length = frame.len();
-        let waiting = self.waiting.get();
-        if waiting > 0 && waiting + length > MOST_WAITING {
-            return false;
-        }
-        let is_queued = self.queue.try_send(frame).is_ok();
-        if is_queued {
-            self.waiting.set(waiting + length);
-            let traffic = &self.context.traffic;
-            traffic.note(kind, self.distance.get(), length);
-        }
-        is_queued
-    }
-
-    /// Bytes queued and not yet handed to the connection.
-    pub fn waiting_bytes(&self) -> usize {
-        self.waiting.get()
-    }
-}
-
-/// A frame that goes to many links. It is packed however busy this process is: a whole view of
-/// 3,000 replicas is 73 KB then and 400 KB else (measured at the leader's links), and 250 edges
-/// that were sent the latter held a link of 600 Mbit/s for 1.3 s, in which nobody heard the
-/// leader. Packing it once takes some ms.
-pub(crate) fn shared_frame(message: &Message) -> Bytes {
-    brasspond_compression::always_packing(|| encode(message))
-}
-
-/// Sets what every connection of the system needs: no delay, and an end when
-/// the other machine is silent.
-pub fn prepare(stream: &TcpStream) {
-    note_unset("nodelay", stream.set_nodelay(true));
-    let socket = SockRef::from(stream);
-    note_unset(
-        "user_timeout",
-        socket.set_tcp_user_timeout(Some(USER_TIMEOUT)),
-    );
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_PAUSE)
-        .with_interval(PROBE_PAUSE)
-        .with_retries(2);
-    note_unset("keepalive", socket.set_tcp_keepalive(&probes));
-}
-
-/// A connection without one of its options works, but its silence is noticed late.
-fn note_unset(option: &str, set: std::io::Result<()>) {
-    if let Err(error) = set {
-        log::warn!("event=socket_option_failed option={option} error=\"{error}\"");
-    }
-}
-
 /// Accepts links until the process ends.
-pub async fn accept_links(
+pub(crate) async fn accept_links(
     listener: TcpListener,
     context: Rc<LinkContext>,
     events: mpsc::Sender<LinkEvent>,
@@ -172,7 +81,7 @@
             }
             Err(error) => {
                 log::warn!("event=link_accept_failed error=\"{error}\"");
-                tokio::time::sleep(RECONNECT_PAUSE).await;
+                tokio::time::sleep(LINK_RETRY_PAUSE).await;
             }
         }
     }
@@ -206,12 +115,13 @@
             link,
         };
         pump(&mut arriving, &events, |_| {}).await;
-        let _ = events.send(LinkEvent::Down { link, address }).await;
+        // An event loop that has ended handles nothing more.
+        let _ = events.send(LinkEvent::Down { link }).await;
     }
 }
 
 /// Keeps a link to `address` up until the task is aborted.
-pub async fn dial(
+pub(crate) async fn dial(
     address: SocketAddr,
     hello: Peer,
     context: Rc<LinkContext>,
@@ -219,7 +129,7 @@
 ) {
     loop {
         let begun = Moment::now();
-        match tokio::time::timeout(CONNECT_TIME, TcpStream::connect(address)).await {
+        match tokio::time::timeout(LINK_CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
                 let dialed = Dialed {
                     stream,
@@ -229,20 +139,18 @@
                 };
                 let link = dialed.link;
                 run_dialed(dialed, &hello, &context, &events).await;
-                if events
-                    .send(LinkEvent::Down { link, address })
-                    .await
-                    .is_err()
-                {
+                if events.send(LinkEvent::Down { link }).await.is_err() {
                     return;
                 }
             }
             Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
+                // An event loop that has ended handles nothing more.
                 let _ = events.send(LinkEvent::Refused { address }).await;
             }
+            // The machine, or the way to it, may be gone for a while: tried again.
             Ok(Err(_)) | Err(_) => {}
         }
-        tokio::time::sleep(RECONNECT_PAUSE).await;
+        tokio::time::sleep(LINK_RETRY_PAUSE).await;
     }
 }
 
@@ -288,7 +196,7 @@
         let on_hello = |peer: &Peer| {
             let measured = context.distance_of(peer);
             if distance.replace(Some(measured)).is_none() {
-                context.note_round_trip(measured, round_trip);
+                context.record_round_trip(measured, round_trip);
             }
         };
         pump(&mut arriving, events, on_hello).await;
@@ -316,7 +224,11 @@
     }
 }
 
-async fn read_message(reader: &mut OwnedReadHalf, buffer: &mut FrameBuffer) -> Option<Message> {
+/// The next message; none: the link has ended.
+pub(crate) async fn read_message(
+    reader: &mut OwnedReadHalf,
+    buffer: &mut FrameBuffer,
+) -> Option<Message> {
     loop {
         match buffer.next_message() {
             Ok(Some(message)) => return Some(message),
@@ -333,98 +245,3 @@
         }
     }
 }
-
-/// The large frame that was put aside, else the next of the queue.
-async fn next_frame(
-    large: &mut Option<Bytes>,
-    frames: &mut mpsc::Receiver<Bytes>,
-) -> Option<Bytes> {
-    match large.take() {
-        Some(frame) => Some(frame),
-        None => frames.recv().await,
-    }
-}
-
-/// Writes queued frames, several small ones at a time; ends when the queue is dropped.
-/// A large frame is written as it is: a whole view goes to hundreds of links at once,
-/// which share its memory.
-fn start_writer(mut writer: OwnedWriteHalf, context: &Rc<LinkContext>) -> Writer {
-    const BATCH_BYTES: usize = 64 * 1024;
-    let (queue, mut frames) = mpsc::channel::<Bytes>(WRITE_QUEUE);
-    let waiting = Rc::new(Cell::new(0));
-    let written = Rc::clone(&waiting);
-    tokio::task::spawn_local(async move {
-        let mut large = None;
-        while let Some(frame) = next_frame(&mut large, &mut frames).await {
-            let mut batch = Vec::new();
-            let mut next = Some(frame);
-            while let Some(frame) = next {
-                if frame.len() >= BATCH_BYTES {
-                    large = Some(frame);
-                    break;
-                }
-                batch.extend_from_slice(&frame);
-                next = (batch.len() < BATCH_BYTES)
-                    .then(|| frames.try_recv().ok())
-                    .flatten();
-            }
-            let bytes = if batch.is_empty() {
-                large.take().unwrap_or_default()
-            } else {
-                batch.into()
-            };
-            if writer.write_all(&bytes).await.is_err() {
-                return;
-            }
-            written.set(written.get() - bytes.len());
-        }
-        let _ = writer.shutdown().await;
-    });
-    Writer {
-        queue,
-        waiting,
-        distance: Rc::default(),
-        context: Rc::clone(context),
-    }
-}
-
-/// Asks a process where the members of the log are.
-pub async fn ask_members(address: SocketAddr) -> Option<Vec<brasspond_consensus::Member>> {
-    use brasspond_cluster_protocol::{Answer, Question};
-    const ASK_TIME: Duration = Duration::from_millis(700);
-    let exchange = async {
-        let mut stream = TcpStream::connect(address).await.ok()?;
-        prepare(&stream);
-        let hello = Peer::Edge {
-            machine: String::new(),
-            zone: String::new(),
-            incarnation: 0,
-            region: None,
-        };
-        stream
-            .write_all(&encode(&Message::Hello(hello)))
-            .await
-            .ok()?;
-        let ask = Message::Ask {
-            number: 1,
-            question: Question::Members,
-        };
-        stream.write_all(&encode(&ask)).await.ok()?;
-        let (mut reader, _writer) = stream.into_split();
-        let mut buffer = FrameBuffer::default();
-        loop {
-            if let Message::Reply {
-                answer: Answer::Members(members),
-                ..
-            } = read_message(&mut reader, &mut buffer).await?
-            {
-                return (!members.is_empty()).then_some(members);
-            }
-        }
-    };
-    tokio::time::timeout(ASK_TIME, exchange).await.ok()?
-}
-
-#[cfg(test)]
-#[path = "../tests/unit/link.rs"]
-mod tests;
--- a/crates/cluster/src/link_context.rs
+++ b/crates/cluster/src/link_context.rs
@@ -1,4 +1,4 @@
-//! What the links of one process share: where it stands, numbers, counts.
+//! What the links of one process share: its place, link numbers, counts of bytes, round trips.
 
 use crate::link::LinkId;
 use crate::traffic::{Traffic, distance_name};
@@ -8,14 +8,14 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// Pause between two log lines of what links carried, in ms: few lines a process, and a rise
-/// in the bill is still found to the quarter of a minute.
-pub const TRAFFIC_PAUSE: u64 = 15_000;
+/// Pause between two log lines of what links carried, in ms: few lines a process, and the moment
+/// of a rise is known to a quarter of a minute. Not measured.
+pub(crate) const TRAFFIC_PAUSE: u64 = 15_000;
 
 /// Shared by all links of one process: its place, link numbers, bytes sent and round trips
 /// measured.
 #[derive(Debug)]
-pub struct LinkContext {
+pub(crate) struct LinkContext {
     place: Place,
     next: Cell<LinkId>,
     /// Bytes sent on links.
@@ -25,7 +25,7 @@
 
 impl LinkContext {
     /// Of a process at a place.
-    pub fn new(place: Place) -> Self {
+    pub(crate) fn new(place: Place) -> Self {
         Self {
             place,
             next: Cell::default(),
@@ -42,12 +42,12 @@
     }
 
     /// How far a zone is from this process.
-    pub fn distance_to(&self, zone: &str, region: Option<&str>) -> Distance {
+    pub(crate) fn distance_to(&self, zone: &str, region: Option<&str>) -> Distance {
         self.place.distance_to(zone, region)
     }
 
     /// How far a peer is.
-    pub fn distance_of(&self, peer: &Peer) -> Distance {
+    pub(crate) fn distance_of(&self, peer: &Peer) -> Distance {
         match peer {
             Peer::Edge { zone, region, .. } => self.distance_to(zone, region.as_deref()),
             Peer::Storage(member) => self.distance_to(&member.zone, member.region.as_deref()),
@@ -55,13 +55,13 @@
     }
 
     /// A connection to a peer at a distance came up after one round trip.
-    pub(crate) fn note_round_trip(&self, distance: Distance, time: Duration) {
+    pub(crate) fn record_round_trip(&self, distance: Distance, time: Duration) {
         let ms = time.as_secs_f64() * 1_000.0;
         self.round_trips.borrow_mut().note(distance, ms);
     }
 
     /// Time of a round trip to a process at a distance, in ms.
-    pub fn round_trip_ms(&self, distance: Distance) -> f64 {
+    pub(crate) fn round_trip_ms(&self, distance: Distance) -> f64 {
         self.round_trips.borrow().ms(distance)
     }
 
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Tells the log what links carried since the start, a line for each distance.
-    pub fn log_traffic(&self) {
+    /// Logs what links carried since the start, a line for each distance.
+    pub(crate) fn log_traffic(&self) {
         for distance in Distance::ALL {
             let line = self.traffic.line(distance);
             if !line.is_empty() {
--- /dev/null
+++ b/crates/cluster/src/member_question.rs
@@ -0,0 +1,51 @@
+//! The question where the members of the log are, to a process without a link to it.
+
+use crate::link::read_message;
+use crate::socket::prepare;
+use brasspond_cluster_protocol::{Answer, FrameBuffer, Message, Peer, Question, encode};
+use brasspond_consensus::Member;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+
+/// Longest time to connect to a process and to read its answer. Not measured.
+const MEMBERS_ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
+
+/// Asks a process where the members of the log are. None: it does not answer in time, or knows
+/// none; another one is asked then.
+pub(crate) async fn ask_members(address: SocketAddr) -> Option<Vec<Member>> {
+    let asked = tokio::time::timeout(MEMBERS_ANSWER_TIMEOUT, exchange(address));
+    asked.await.ok()?
+}
+
+async fn exchange(address: SocketAddr) -> Option<Vec<Member>> {
+    let mut stream = TcpStream::connect(address).await.ok()?;
+    prepare(&stream);
+    let hello = Peer::Edge {
+        machine: String::new(),
+        zone: String::new(),
+        incarnation: 0,
+        region: None,
+    };
+    stream
+        .write_all(&encode(&Message::Hello(hello)))
+        .await
+        .ok()?;
+    let ask = Message::Ask {
+        number: 1,
+        question: Question::Members,
+    };
+    stream.write_all(&encode(&ask)).await.ok()?;
+    let (mut reader, _writer) = stream.into_split();
+    let mut buffer = FrameBuffer::default();
+    loop {
+        if let Message::Reply {
+            answer: Answer::Members(members),
+            ..
+        } = read_message(&mut reader, &mut buffer).await?
+        {
+            return (!members.is_empty()).then_some(members);
+        }
+    }
+}
--- a/crates/cluster/src/traffic.rs
+++ b/crates/cluster/src/traffic.rs
@@ -14,24 +14,24 @@
 
 /// Bytes sent by the links of a process since its start.
 #[derive(Debug, Default)]
-pub struct Traffic {
+pub(crate) struct Traffic {
     sent: [[Cell<u64>; Kind::COUNT]; CLASSES],
 }
 
 impl Traffic {
     /// A frame was queued for a peer; `distance` is none before it said who it is.
-    pub fn note(&self, kind: Kind, distance: Option<Distance>, bytes: usize) {
+    pub(crate) fn record(&self, kind: Kind, distance: Option<Distance>, bytes: usize) {
         let sent = &self.sent[class(distance)][kind as usize];
         sent.set(sent.get() + bytes as u64);
     }
 
     /// Bytes sent of a kind to peers at a distance.
-    pub fn sent(&self, kind: Kind, distance: Option<Distance>) -> u64 {
+    pub(crate) fn sent(&self, kind: Kind, distance: Option<Distance>) -> u64 {
         self.sent[class(distance)][kind as usize].get()
     }
 
     /// All that is not 0: kind, distance, bytes.
-    pub fn all(&self) -> impl Iterator<Item = (Kind, Option<Distance>, u64)> + '_ {
+    pub(crate) fn all(&self) -> impl Iterator<Item = (Kind, Option<Distance>, u64)> + '_ {
         let distances = Distance::ALL.into_iter().map(Some).chain([None]);
         let pairs = distances.flat_map(|distance| Kind::ALL.map(|kind| (kind, distance)));
         let counted = pairs.map(|(kind, distance)| (kind, distance, self.sent(kind, distance)));
@@ -40,7 +40,7 @@
 
     /// What was sent to one distance as `kind=bytes` pairs for a log line; empty where
     /// nothing was.
-    pub fn line(&self, distance: Distance) -> String {
+    pub(crate) fn line(&self, distance: Distance) -> String {
         let mut line = String::new();
         for (kind, to, bytes) in self.all() {
             if to == Some(distance) {
@@ -57,7 +57,7 @@
 }
 
 /// Name of a distance for logs and metrics.
-pub fn distance_name(distance: Option<Distance>) -> &'static str {
+pub(crate) fn distance_name(distance: Option<Distance>) -> &'static str {
     distance.map_or("unknown", Distance::name)
 }
 
--- a/crates/cluster/src/upstream.rs
+++ b/crates/cluster/src/upstream.rs
@@ -1,7 +1,9 @@
-//! Connections to replicas: kept, reused, closed.
+//! Connections to replicas: kept, reused, closed, and probes whether one can be opened.
+//!
+//! Owns the connections at rest. Relies on a clearance for each request to a replica.
 
 use crate::clock::{Moment, within};
-use crate::link::prepare;
+use crate::socket::prepare;
 use brasspond_eligibility::Clearance;
 use bytes::Bytes;
 use displaydoc::Display;
@@ -20,23 +22,24 @@
 /// Longest time to connect to a replica: several round trips of the longest way; a lost packet
 /// is sent again only after it. Not measured.
 const REPLICA_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time a connection rests before it is closed here, if the replica says
-/// nothing.
-const IDLE_TIME: Duration = Duration::from_secs(8);
-/// A connection is not used this shortly before the replica closes it.
+/// Time for which a connection rests before it is closed here, where the replica announces none
+/// in `Keep-Alive`. Not measured.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(8);
+/// A connection is not used this shortly before the replica closes it: a request could cross
+/// the close. Not measured.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
-/// Connections at rest to one replica.
+/// Connections at rest to one replica; more are closed. Not measured.
 const MOST_IDLE: usize = 24;
 
-/// Longest answer that is read whole, in bytes.
-const LONGEST_ANSWER: usize = 4 * 1024 * 1024;
+/// Longest answer to a call of a storage process, in bytes. Not measured.
+const LONGEST_CALL_ANSWER: usize = 4 * 1024 * 1024;
 
 /// Status, headers and body of an answer.
-pub type Answer = (hyper::StatusCode, hyper::HeaderMap, Bytes);
+pub(crate) type Answer = (hyper::StatusCode, hyper::HeaderMap, Bytes);
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum UpstreamError {
+pub(crate) enum UpstreamError {
     /// no connection: the request was certainly not received
     NotSent,
     /// the connection broke: the request may have been received
@@ -44,7 +47,7 @@
 }
 
 /// A connection that carries one request at a time.
-pub struct Connection {
+pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     address: SocketAddr,
     idle_until: Moment,
@@ -57,13 +60,13 @@
     ///
     /// # Errors
     /// See [`UpstreamError`].
-    pub async fn send(
+    pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, UpstreamError> {
         match self.sender.send_request(request).await {
             Ok(response) => {
-                self.note_keep_alive(&response);
+                self.apply_keep_alive(&response);
                 Ok(response)
             }
             Err(error) if error.is_canceled() => Err(UpstreamError::NotSent),
@@ -71,21 +74,23 @@
         }
     }
 
-    fn note_keep_alive(&mut self, response: &Response<Incoming>) {
+    /// Applies the time for which the replica keeps the connection at rest; a header that names
+    /// none in seconds counts as missing.
+    fn apply_keep_alive(&mut self, response: &Response<Incoming>) {
         let header = response.headers().get("keep-alive");
         let text = header.and_then(|value| value.to_str().ok()).unwrap_or("");
         let seconds = text
             .split(',')
             .filter_map(|part| part.trim().strip_prefix("timeout="))
             .find_map(|seconds| seconds.parse::<u64>().ok());
-        let idle = seconds.map_or(IDLE_TIME, Duration::from_secs);
+        let idle = seconds.map_or(DEFAULT_IDLE_TIME, Duration::from_secs);
         self.idle_until = Moment::now() + idle.saturating_sub(IDLE_MARGIN);
     }
 }
 
 /// Connections at rest, by address: those to a life that is over are closed when that is seen.
 #[derive(Clone, Default)]
-pub struct Pool {
+pub(crate) struct Pool {
     idle: Rc<RefCell<HashMap<SocketAddr, Vec<Connection>>>>,
 }
 
@@ -94,7 +99,7 @@
     ///
     /// # Errors
     /// The replica cannot be reached: nothing was sent.
-    pub async fn take(&self, clearance: &Clearance) -> Result<Connection, UpstreamError> {
+    pub(crate) async fn take(&self, clearance: &Clearance) -> Result<Connection, UpstreamError> {
         let address = clearance.address();
         if let Some(connection) = self.take_idle(address) {
             return Ok(connection);
@@ -107,7 +112,7 @@
     ///
     /// # Errors
     /// See [`UpstreamError`].
-    pub async fn call(
+    pub(crate) async fn call(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
@@ -120,29 +125,17 @@
             }
             // The replica may have closed it meanwhile.
         }
-        self.call_anew(address, request, limit).await
-    }
-
-    /// Makes a call on a new connection, which rests here afterwards, and reads the
-    /// whole answer.
-    ///
-    /// # Errors
-    /// See [`UpstreamError`].
-    pub async fn call_anew(
-        &self,
-        address: SocketAddr,
-        request: Request<Full<Bytes>>,
-        limit: Duration,
-    ) -> Result<Answer, UpstreamError> {
         self.call_anew_if(|| true, address, request, limit).await
     }
 
-    /// The same, if it may still be sent once the connection is there: opening one takes up to
-    /// [`REPLICA_CONNECT_TIMEOUT`], and a process that stood still meanwhile does not know how long.
+    /// Makes a call on a new connection, which rests here afterwards, and reads the whole answer;
+    /// only if it may still be sent once the connection is there: opening one takes up to
+    /// [`REPLICA_CONNECT_TIMEOUT`], and a process that was suspended meanwhile does not know how
+    /// long.
     ///
     /// # Errors
     /// See [`UpstreamError`]; not sent where it may not be.
-    pub async fn call_anew_if(
+    pub(crate) async fn call_anew_if(
         &self,
         may_send: impl FnOnce() -> bool,
         address: SocketAddr,
@@ -165,7 +158,7 @@
         let exchange = async {
             let response = connection.send(request).await?;
             let (head, body) = response.into_parts();
-            let body = Limited::new(body, LONGEST_ANSWER).collect().await;
+            let body = Limited::new(body, LONGEST_CALL_ANSWER).collect().await;
             let body = body.map_err(|_| UpstreamError::Broken)?;
             Ok((head.status, head.headers, body.to_bytes()))
         };
@@ -195,7 +188,7 @@
     }
 
     /// Keeps a connection whose answer was read to its end.
-    pub fn give_back(&self, connection: Connection) {
+    pub(crate) fn give_back(&self, connection: Connection) {
         if connection.sender.is_closed() || connection.idle_until <= Moment::now() {
             return;
         }
@@ -208,18 +201,18 @@
 
     /// Closes the connections that rest to an address whose last answer did not come: an
     /// open connection may be silent for good while new ones work, and where one is, those
-    /// beside it are too. Without this each of them costs a request its time-out.
-    pub fn forget(&self, address: SocketAddr) {
+    /// beside it are too. Each would cost a request its timeout.
+    pub(crate) fn forget(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
     /// Closes all connections at rest: descriptors are used up.
-    pub fn close_all(&self) {
+    pub(crate) fn close_all(&self) {
         self.idle.borrow_mut().clear();
     }
 
     /// Closes connections that rested long enough.
-    pub fn close_old(&self) {
+    pub(crate) fn close_old(&self) {
         let now = Moment::now();
         let mut idle = self.idle.borrow_mut();
         for resting in idle.values_mut() {
@@ -233,7 +226,7 @@
 ///
 /// # Errors
 /// The replica cannot be reached: nothing was sent.
-pub async fn connect(address: SocketAddr) -> Result<Connection, UpstreamError> {
+pub(crate) async fn connect(address: SocketAddr) -> Result<Connection, UpstreamError> {
     let connecting = TcpStream::connect(address);
     let stream = match tokio::time::timeout(REPLICA_CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(stream)) => stream,
@@ -244,12 +237,13 @@
         return Err(UpstreamError::NotSent);
     };
     tokio::task::spawn_local(async move {
+        // A connection that breaks fails its request, which reports it.
         let _ = driver.await;
     });
     Ok(Connection {
         sender,
         address,
-        idle_until: Moment::now() + IDLE_TIME,
+        idle_until: Moment::now() + DEFAULT_IDLE_TIME,
         reused: false,
     })
 }
--- a/crates/cluster/tests/unit/balance.rs
+++ b/crates/cluster/tests/unit/balance.rs
@@ -92,8 +92,8 @@
     let (mut balance, links) = balance(&[("far", "s1"), ("near", "n1")]);
     balance.record_answer("near", Moment::now(), Duration::from_millis(30));
     for _ in 0..3 {
-        links.note_round_trip(Distance::SameRegion, Duration::from_micros(600));
-        links.note_round_trip(Distance::OtherRegion, Duration::from_millis(1));
+        links.record_round_trip(Distance::SameRegion, Duration::from_micros(600));
+        links.record_round_trip(Distance::OtherRegion, Duration::from_millis(1));
     }
     assert_eq!(chosen(&balance), "far");
 }
@@ -104,7 +104,7 @@
     let (balance, links) = balance(&[("a", "s1"), ("b", "n2"), ("c", "n1")]);
     for distance in Distance::ALL {
         for _ in 0..3 {
-            links.note_round_trip(distance, Duration::from_micros(80));
+            links.record_round_trip(distance, Duration::from_micros(80));
         }
     }
     assert_eq!(chosen(&balance), "c");
--- a/crates/cluster/tests/unit/clock.rs
+++ b/crates/cluster/tests/unit/clock.rs
@@ -1,6 +1,6 @@
-//! Waits and looks by a clock that goes on while the machine is suspended.
+//! Waits by a clock that goes on while the machine is suspended, and suspensions detected by it.
 
-use super::{Late, Moment, Standstill, within, within_by};
+use super::{Late, Moment, SuspensionDetector, within, within_by};
 use rstest::rstest;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -8,17 +8,16 @@
 /// Longer than any test.
 const NEVER: Duration = Duration::from_secs(600);
 
-/// A caller's deadline of 5 s was kept 4 s late where the machine had been suspended for
-/// 4 s: timers leave that time out.
+/// Timers of the runtime do not count a suspension: a deadline would be kept late by all of it.
 #[rstest]
 #[tokio::test]
 async fn a_wait_ends_soon_after_a_suspension() {
     let begun = Moment::now();
-    let looks = Cell::new(0);
-    // From the third look on, the machine has been suspended for a minute.
+    let checks = Cell::new(0);
+    // From the third check on, the machine has been suspended for a minute.
     let now = || {
-        looks.set(looks.get() + 1);
-        let suspended = if looks.get() > 2 { 60 } else { 0 };
+        checks.set(checks.get() + 1);
+        let suspended = if checks.get() > 2 { 60 } else { 0 };
         begun + begun.elapsed() + Duration::from_secs(suspended)
     };
     let steady = Instant::now();
@@ -40,9 +39,9 @@
 }
 
 #[rstest]
-fn a_standstill_is_noticed_once() {
-    let mut standstill = Standstill::new(100);
-    assert_eq!(standstill.look(350), None);
-    assert_eq!(standstill.look(4_600), Some(4_250));
-    assert_eq!(standstill.look(4_850), None);
+fn a_suspension_is_detected_once() {
+    let mut suspension = SuspensionDetector::new(100);
+    assert_eq!(suspension.tick(350), None);
+    assert_eq!(suspension.tick(4_600), Some(4_250));
+    assert_eq!(suspension.tick(4_850), None);
 }
--- a/crates/cluster/tests/unit/traffic.rs
+++ b/crates/cluster/tests/unit/traffic.rs
@@ -8,10 +8,10 @@
 #[rstest]
 fn bytes_are_counted_by_kind_and_distance() {
     let traffic = Traffic::default();
-    traffic.note(Kind::Log, Some(Distance::OtherRegion), 700);
-    traffic.note(Kind::Log, Some(Distance::OtherRegion), 300);
-    traffic.note(Kind::Events, Some(Distance::SameZone), 40);
-    traffic.note(Kind::Other, None, 60);
+    traffic.record(Kind::Log, Some(Distance::OtherRegion), 700);
+    traffic.record(Kind::Log, Some(Distance::OtherRegion), 300);
+    traffic.record(Kind::Events, Some(Distance::SameZone), 40);
+    traffic.record(Kind::Other, None, 60);
     assert_eq!(traffic.sent(Kind::Log, Some(Distance::OtherRegion)), 1_000);
     assert_eq!(traffic.sent(Kind::Log, Some(Distance::SameZone)), 0);
     let all: Vec<_> = traffic.all().collect();
@@ -31,7 +31,7 @@
     let traffic = Traffic::default();
     for (number, kind) in Kind::ALL.into_iter().enumerate() {
         assert_eq!(kind as usize, number);
-        traffic.note(kind, Some(Distance::SameRegion), number + 1);
+        traffic.record(kind, Some(Distance::SameRegion), number + 1);
     }
     let sent = traffic.all().map(|(_, _, bytes)| bytes);
     assert!(sent.eq(1..=Kind::COUNT as u64));
