--- a/crates/cluster-protocol/src/frame.rs
+++ b/crates/cluster-protocol/src/frame.rs
@@ -1,13 +1,15 @@
-//! Frames on a connection: a length of 4 bytes, big endian, then the message,
-//! packed. Entries of the log are packed by themselves, once for all members, so
-//! the messages that carry them stay as they are.
+//! Frames on a connection: a length of 4 bytes, big endian, then the message in MessagePack, which
+//! is compressed ("packed", `crates/compression`) where that makes it smaller.
+//!
+//! Entries of the log are packed by themselves, once for all members, so messages that carry them
+//! are not packed again.
 
 use crate::Message;
 use brasspond_compression::{PLAIN, UnpackError, pack, unpack};
 use bytes::{Buf, Bytes, BytesMut};
 use displaydoc::Display;
 
-/// Longest frame taken, in bytes: a snapshot fits.
+/// Longest frame accepted, in bytes, packed and unpacked: a snapshot fits. Not measured.
 pub const LONGEST_FRAME: usize = 256 * 1024 * 1024;
 const LENGTH_BYTES: usize = 4;
 
@@ -24,11 +26,12 @@
 
 impl std::error::Error for FrameError {}
 
-/// Encodes a message as a frame.
+/// Encodes a message as a frame, packed unless this process is busy.
 pub fn encode(message: &Message) -> Bytes {
     let mut frame = vec![0; LENGTH_BYTES];
     frame.push(PLAIN);
-    // Every message type can be encoded; writing to a vector does not fail.
+    // Does not occur: every message type can be encoded, and writing to a vector does not fail. An
+    // empty frame carries nothing.
     if rmp_serde::encode::write(&mut frame, message).is_err() {
         return Bytes::new();
     }
@@ -47,15 +50,16 @@
 /// Collects bytes and gives out whole messages.
 #[derive(Debug, Default)]
 pub struct FrameBuffer {
-    /// Bytes received and not yet decoded; readers append here.
+    /// Bytes received and not decoded yet; readers append here.
     pub bytes: BytesMut,
 }
 
 impl FrameBuffer {
-    /// The next whole message, if it has arrived.
+    /// The next message; none: it has not arrived whole.
     ///
     /// # Errors
-    /// The bytes are no message; the connection is of no more use.
+    /// The bytes are no message: where the next one begins is unknown, and the connection must be
+    /// closed.
     pub fn next_message(&mut self) -> Result<Option<Message>, FrameError> {
         let Some(length) = self.bytes.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
--- a/crates/cluster-protocol/src/kind.rs
+++ b/crates/cluster-protocol/src/kind.rs
@@ -8,7 +8,7 @@
 pub enum Kind {
     /// Entries of the log, or a snapshot of it.
     Log,
-    /// Votes, signs of life and acknowledgements between members of the log.
+    /// Votes, heartbeats and acknowledgements between members of the log.
     LogControl,
     /// A question.
     Question,
@@ -16,21 +16,21 @@
     Results,
     /// Any other answer.
     Answer,
-    /// Who leads.
+    /// Who leads, and what the leader holds of an edge.
     Leading,
-    /// A whole view, or the wish for one.
+    /// A whole view, or the request for one.
     View,
     /// What changed in a view.
     ViewChanged,
-    /// An item or a text to score, for an edge.
+    /// A run or a scoring call that an edge is to make.
     Order,
-    /// What runs made and how they ended.
+    /// Events and ends of runs, registrations of runs.
     Events,
     /// Usage of tenants.
     Usage,
-    /// What an edge is to stop or to forget.
+    /// Runs that an edge is to cancel or to forget.
     Stop,
-    /// Everything else: greetings, signs of life, held contents.
+    /// Everything else: greetings, signs of life, quarantined contents.
     Other,
 }
 
--- a/crates/cluster-protocol/src/run.rs
+++ b/crates/cluster-protocol/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs of items on replicas.
+//! Runs of items on replicas, scoring calls, and what edges report of them.
 
 use brasspond_fleet::Life;
 use brasspond_fleet::Regions;
@@ -9,12 +9,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A run of an item on one replica: the leader's term and a number.
+/// Id of a run of an item on one replica, or of a scoring call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// Term of the leader that began it.
+    /// Term of the leader that ordered it.
     pub term: u64,
-    /// Number within the term.
+    /// Its number within that term.
     pub number: u64,
 }
 
@@ -24,79 +24,80 @@
     }
 }
 
-/// An event of a stream.
+/// An event of the stream in which a replica answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamEvent {
-    /// Its identity; they rise within a stream.
+    /// Its id; ids rise within a stream.
     pub id: u64,
-    /// Its data.
+    /// Its data, as the replica sent it.
     pub data: Bytes,
     /// Version of the weights that made it.
     pub version: u64,
 }
 
-/// How fast a run's events came to its edge, by the edge's clock.
+/// How fast a run's events arrived at its edge, by the edge's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pace {
-    /// Events that came, counted from the one that began the span.
+    /// Events that arrived after the one with which the span begins.
     pub events: u32,
-    /// Time they took, in ms.
+    /// Time from that one to the last, in ms.
     pub span_ms: u32,
 }
 
 impl Pace {
-    /// Events that tell a pace: a single gap may be one that reading a prompt made.
+    /// Fewest events from which a pace is known: a single gap may be the time in which the replica
+    /// read the prompt.
     pub const LEAST_EVENTS: u32 = 2;
 
-    /// Time of an event, in ms.
+    /// Mean time between two events, in ms.
     pub fn event_ms(self) -> f64 {
         f64::from(self.span_ms) / f64::from(self.events.max(1))
     }
 }
 
-/// What an edge needs to run an item.
+/// An order to run an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunSpec {
-    /// The run.
+    /// Id of the run.
     pub attempt: AttemptId,
-    /// Its job.
+    /// Id of the job.
     pub job: String,
-    /// Index of the item in its job.
+    /// Index of the item in its job, from 0.
     pub item: u32,
-    /// Identity of the item.
+    /// Id of the item within its job.
     pub item_id: String,
-    /// Host asked for.
+    /// Host that the item asks for.
     pub host: String,
-    /// Path asked for.
+    /// Path that the item asks for.
     pub path: String,
-    /// Headers of the item.
+    /// Headers of the item: name and value.
     pub headers: Vec<(String, String)>,
     /// Body of the item.
     pub body: Bytes,
     /// Id of the replica.
     pub replica: String,
-    /// Where the replica listens.
+    /// Where the replica takes requests.
     pub address: SocketAddr,
-    /// Oldest version that may make an event.
+    /// Oldest version of the weights that may make an event.
     pub min_version: u64,
-    /// Only one version may make the events.
+    /// All events must be of one version.
     pub single_version: bool,
-    /// Events that earlier runs made; the run goes on after them.
+    /// Events that earlier runs of the item made; the run goes on after the last.
     pub events: Vec<StreamEvent>,
-    /// The call that the edge makes once the text is whole.
+    /// The scoring call that the edge makes once the text is whole; none: no score is wanted.
     pub scoring: Option<ScoringCall>,
-    /// Tenant that the item is run for.
+    /// Tenant that the item is run for; none: no tenant.
     pub tenant: Option<Arc<str>>,
-    /// The replica warms up: before which moment the run must leave, by the edge's clock in
-    /// ms; none: it is warm as far as the leader knows.
+    /// The replica warms up: when the request must be sent at the latest, by the edge's steady
+    /// clock in ms; none: it does not warm up as far as the leader knows.
     pub send_by: Option<u64>,
-    /// The replica's life, as the leader knows it.
+    /// The replica's life as the leader knows it; the request goes to no other life.
     #[serde(default)]
     pub life: Life,
 }
 
 impl RunSpec {
-    /// What the item asks for.
+    /// Fingerprint of what the item asks for.
     pub fn content(&self) -> Fingerprint {
         Fingerprint::of(&Content {
             method: "POST",
@@ -108,32 +109,32 @@
     }
 }
 
-/// What an edge needs to score a text that the log holds.
+/// An order to make the scoring call for a text that the log holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScoringSpec {
-    /// Numbered like a run.
+    /// Id of the scoring call, numbered like a run.
     pub attempt: AttemptId,
-    /// Its job, for logs.
+    /// Id of the job, for log lines.
     pub job: String,
-    /// Identity of the item, for logs.
+    /// Id of the item, for log lines.
     pub item_id: String,
     /// The call.
     pub call: ScoringCall,
-    /// Where the job's data may be; the call's own route binds beside them.
+    /// Regions where the job's data may be sent; the call's own route may narrow them.
     pub regions: Regions,
-    /// Calls for this text before it that were given all their time and not answered.
+    /// Earlier calls for this text that had all their time and were not answered.
     #[serde(default)]
     pub ran_out: u32,
 }
 
-/// How the scoring of a text ended.
+/// How the scoring of a text ended, after all attempts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ScoringEnd {
-    /// The signature of a whole answer that succeeded.
+    /// A replica answered; the signature of its whole answer.
     Scored(String),
-    /// It failed (500) as often as its route allows.
+    /// It failed (status 500) as often as its route allows.
     Failed,
-    /// No replica answered in the time for it.
+    /// No replica answered within the time for it.
     Unanswered,
 }
 
@@ -151,29 +152,29 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// The stream is whole.
+    /// The stream came to its end.
     Whole,
-    /// The replica said that it did not run the item.
+    /// The replica answered that it did not run the item.
     NotRun {
-        /// It is no longer the replica it was taken for.
+        /// The replica at the address is not the one, or not in the life, that the run was for.
         other_replica: bool,
     },
-    /// The replica ran it and failed (500).
+    /// The replica ran the item and failed (status 500).
     Failed,
-    /// It can never be done (422).
+    /// No replica can run the item (status 422).
     Impossible,
     /// The replica's weights are older than the item allows.
     TooOld,
     /// The replica cannot be reached.
     Unreachable,
-    /// The stream broke off, or its bytes made no sense.
+    /// The stream broke off, or its bytes are no events.
     Broken,
-    /// Another version went on with it, where one must make the whole.
+    /// Events are of two versions where all must be of one.
     Mixed,
-    /// It was not sent: its replica warms up, and it had no leave, or its leave was over.
+    /// It was not sent: its replica warms up, and there was no permit, or it was over.
     Unsent,
-    /// Stopped by the leader, by the edge's own stop, or not begun as its edge had no leave any
-    /// more.
+    /// Cancelled by the leader or as the edge stops, or not begun since the edge's work lease was
+    /// over.
     Cancelled,
 }
 
@@ -195,32 +196,32 @@
     }
 }
 
-/// What a run made since the last report.
+/// Progress of a run since the last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunProgress {
     /// The run.
     pub attempt: AttemptId,
     /// New events.
     pub events: Vec<StreamEvent>,
-    /// How fast they came; none if too few did.
+    /// How fast they arrived; none: fewer than [`Pace::LEAST_EVENTS`].
     pub pace: Option<Pace>,
 }
 
-/// A run as an edge tells a new leader of it.
+/// A run as an edge registers it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
-    /// The run.
+    /// Id of the run.
     pub attempt: AttemptId,
-    /// Its job.
+    /// Id of the job.
     pub job: String,
-    /// Index of the item in its job.
+    /// Index of the item in its job, from 0.
     pub item: u32,
-    /// The replica.
+    /// Id of the replica.
     pub replica: String,
     /// All events so far, those of earlier runs included.
     pub events: Vec<StreamEvent>,
-    /// How it ended, if it has.
+    /// How it ended; none: it is under way.
     pub end: Option<RunEnd>,
-    /// How the scoring of its whole text ended, if it has.
+    /// How the scoring of its whole text ended; none: it has not, or none is wanted.
     pub scoring: Option<ScoringEnd>,
 }
--- a/crates/cluster/src/storage/places.rs
+++ b/crates/cluster/src/storage/places.rs
@@ -9,43 +9,43 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Losses at one time that the group survives.
+/// How many may be lost at one time without the group losing its quorum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Losses {
-    /// Of machines with a disk.
+    /// Machines with a disk.
     pub machines: usize,
-    /// Of all machines of a zone.
+    /// Zones, with all their machines.
     pub zones: usize,
-    /// Of all machines of a region.
+    /// Regions, with all their machines.
     pub regions: usize,
 }
 
 impl Losses {
-    /// Voters that bear them: a majority is left.
+    /// Fewest voters of which a majority is left after them.
     pub fn voters(self) -> usize {
         2 * self.machines.max(self.zones).max(self.regions) + 1
     }
 }
 
-/// What the places are chosen by.
+/// What is wanted of the places.
 #[derive(Clone, Debug)]
 pub struct Wanted {
     /// Losses to be borne.
     pub losses: Losses,
     /// Regions that all bound jobs share.
     pub regions: Regions,
-    /// The log holds bodies that are bound.
+    /// The log holds bodies of bound jobs.
     pub holds_bound: bool,
 }
 
-/// How far a set of voters is from the one wanted; the least is the best. The first field
-/// weighs most: data is not taken out of its regions to bear a loss, and a loss is not left
-/// unborne to commit sooner.
+/// How far a set of voters is from the one wanted; the least is the best. Fields are compared in
+/// order: residency comes before bearing losses, and that before committing inside one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Strain {
     /// Voters outside the regions that bind.
     pub outside: usize,
-    /// Voters lost with the fullest regions beyond those a majority can spare.
+    /// Voters that are lost with the fullest regions, as many as are to be borne, beyond those that a
+    /// majority can spare.
     pub regions: usize,
     /// The same of zones.
     pub zones: usize,
@@ -57,18 +57,18 @@
 #[derive(Clone, Debug)]
 pub struct Places {
     losses: Losses,
-    /// No member stands outside these.
+    /// No member may be outside these.
     bound: Regions,
-    /// Entries commit inside this region; none: no region has enough machines, or the loss
-    /// of one is to be borne.
+    /// The commit region: a quorum should be inside it, so that entries commit without a round trip
+    /// between regions. None: no region has enough machines, or the loss of one is to be borne.
     region: Option<Arc<str>>,
 }
 
 impl Places {
     /// The places for a group of these voters and candidates, led by `own`.
     ///
-    /// Members are bound to the regions that bound jobs share once enough machines stand
-    /// there, and for as long as the log holds bound bodies.
+    /// Members are bound to the regions that bound jobs share once enough machines are there, and
+    /// as long as the log holds bound bodies.
     pub fn new(
         wanted: &Wanted,
         own: MemberId,
@@ -102,12 +102,12 @@
         }
     }
 
-    /// Whether a member may stand where this one does.
+    /// Whether a member may be where this one is.
     pub fn allow(&self, member: &Member) -> bool {
         self.bound.allows(member.region.as_deref())
     }
 
-    /// Whether a member stands where the leader should.
+    /// Whether a member is where the leader should be.
     pub fn is_in_place(&self, member: &Member) -> bool {
         self.allow(member) && !self.is_away(member)
     }
@@ -142,7 +142,7 @@
     }
 }
 
-/// Members of the `count` fullest places.
+/// How many members are at the `count` fullest places.
 fn fullest<T: Ord>(places: impl Iterator<Item = T>, count: usize) -> usize {
     let mut members: BTreeMap<T, usize> = BTreeMap::new();
     for place in places {
@@ -153,9 +153,9 @@
     counts.into_iter().take(count).sum()
 }
 
-/// The region in which entries commit: of those with enough machines the one that holds
-/// most voters, so that the group does not move without need; then the leader's. One that
-/// holds a quorum of the voters stays it while some of its machines are lost.
+/// The commit region: of the regions with enough machines the one with most voters, so that the
+/// group does not move without need; of equal ones the leader's, then the first by name. A region
+/// with a quorum of the voters counts as large enough while some of its machines are lost.
 fn commit_region(
     bound: &Regions,
     target: usize,
--- a/crates/cluster/tests/copying.rs
+++ b/crates/cluster/tests/copying.rs
@@ -37,7 +37,7 @@
 #[rstest]
 #[case::small(1_000, 1_000)]
 #[case::thousands_of_replicas(75_000, 2_500)]
-fn copies_take_a_bounded_part_of_the_log(#[case] bytes: usize, #[case] pause: u64) {
+fn copies_of_the_view_are_limited_in_bytes_a_ms(#[case] bytes: usize, #[case] pause: u64) {
     let mut copies = ViewCopies::new(&view(10, 10), 0);
     copies.copied(bytes, 100);
     let next = view(60, 60);
--- a/crates/cluster/tests/group.rs
+++ b/crates/cluster/tests/group.rs
@@ -96,7 +96,7 @@
     /// Members that are bound to a region are there once all is well, whoever began the
     /// group and whatever befell it; and nothing acknowledged is lost on their way.
     #[test]
-    fn bound_members_end_up_inside(
+    fn bound_members_are_inside_their_region_in_the_end(
         seed in any::<u64>(),
         faults in proptest::collection::vec(any_fault(), 0..5),
     ) {
--- a/crates/cluster/tests/load.rs
+++ b/crates/cluster/tests/load.rs
@@ -22,6 +22,6 @@
 #[case::calm(&[10, 40, 45], &[false, false, false])]
 #[case::busy(&[70, 95], &[true, true])]
 #[case::it_stays_so_for_a_while(&[70, 40, 25, 15], &[true, true, true, false])]
-fn a_process_is_busy_that_works_most_of_the_time(#[case] shares: &[u64], #[case] busy: &[bool]) {
+fn a_process_that_works_most_of_the_time_is_busy(#[case] shares: &[u64], #[case] busy: &[bool]) {
     assert_eq!(busy_after(shares), busy);
 }
--- a/crates/cluster/tests/plan.rs
+++ b/crates/cluster/tests/plan.rs
@@ -92,14 +92,14 @@
 }
 
 #[rstest]
-fn a_calm_group_stays() {
+fn a_healthy_group_is_not_changed() {
     assert_eq!(Case::calm().next(), Step::Stay);
     let standby = candidate(&member(4, "d", "x"), 0, 10);
     assert_eq!(Case::calm().with(standby).next(), Step::Stay);
 }
 
 #[rstest]
-fn a_machine_back_without_its_disk_takes_its_old_place_in_two_steps() {
+fn a_machine_that_lost_its_disk_is_replaced_by_its_new_identity_in_two_steps() {
     let returned = candidate(&member(9, "c", "z"), 500, 10);
     let mut case = Case::calm()
         .with(candidate(&member(3, "c", "z"), 90, 2_000))
@@ -122,7 +122,7 @@
 }
 
 #[rstest]
-fn a_retiring_machine_is_replaced_before_it_goes() {
+fn a_retiring_voter_is_replaced_before_it_is_removed() {
     let mut case = Case::calm()
         .retiring("c")
         .with(candidate(&member(4, "d", "z"), 0, 10));
@@ -152,7 +152,7 @@
 }
 
 #[rstest]
-fn nothing_changes_that_would_leave_no_quorum() {
+fn no_change_leaves_fewer_live_voters_than_a_quorum() {
     let mut case = Case::calm()
         .retiring("c")
         .with(candidate(&member(2, "b", "y"), 90, 2_000))
--- a/crates/cluster/tests/search.rs
+++ b/crates/cluster/tests/search.rs
@@ -41,7 +41,7 @@
 }
 
 #[rstest]
-fn processes_that_miss_their_leader_read_soon_and_not_all_at_once() {
+fn processes_without_a_leader_read_soon_and_not_all_at_once() {
     let mut searches = fleet(45, false);
     reads(&mut searches, 0, 10_000, true);
     let silent = reads(&mut searches, 10_000, 70_000, false);
@@ -83,7 +83,7 @@
 }
 
 #[rstest]
-fn a_slow_store_does_not_put_the_first_start_off() {
+fn a_slow_store_does_not_delay_the_first_start() {
     assert_eq!(making_pause(0), 0);
     assert_eq!(making_pause(5_000), 1_400);
 }
--- a/crates/cluster/tests/support/mod.rs
+++ b/crates/cluster/tests/support/mod.rs
@@ -1,9 +1,13 @@
 //! Members, their disks and the network between them, by simulated time.
 
-use brasspond_cluster::storage::places::{Losses, Places, Wanted};
-use brasspond_cluster::storage::plan::{Candidate, Situation, Step, next_step, successors};
+mod faults;
+mod members;
+
+pub use faults::{Fault, Mutation};
+
+use brasspond_cluster::storage::places::{Losses, Wanted};
 use brasspond_consensus::{
-    Consensus, Entry, HardState, Member, MemberId, Message, Payload, Persisted, READ_LEASE, Timing,
+    Consensus, Entry, HardState, Member, MemberId, Message, Persisted, READ_LEASE, Ready, Timing,
 };
 use brasspond_fleet::Regions;
 use brasspond_golden::Digest;
@@ -13,49 +17,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Something goes wrong, or is done to the group.
-#[derive(Clone, Debug)]
-pub enum Fault {
-    /// The process ends and starts again.
-    Kill(usize),
-    /// What was not synced is lost.
-    PowerLoss(usize),
-    /// The disk is lost; the machine comes back empty.
-    Wipe(usize),
-    /// The process stands still for a while, or its machine is suspended.
-    Pause(usize),
-    /// The same for the leader's.
-    PauseLeader,
-    /// No messages either way for a while.
-    Cut(usize),
-    /// No messages from the member for a while.
-    CutOneWay(usize),
-    /// All machines lose power.
-    PowerLossAll,
-    /// One loses its disk while all others lose power.
-    WipeOnePowerLossAll(usize),
-    /// A follower is cut off and misses entries; then the other follower loses
-    /// its disk while the leader is dark, and the cut heals.
-    WipeBehindCut,
-    /// An empty machine joins.
-    Add,
-    /// A machine is emptied and, once that is done, taken away.
-    Retire(usize),
-}
-
-/// A fault built into the members, to show that the checks can fail.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutation {
-    /// The newest entries were never synced though it was said so.
-    UnsyncedEntries,
-    /// Votes are not remembered across a restart.
-    ForgottenVotes,
-    /// A machine that lost its disk comes back under its old identity.
-    KeptIdentity,
-    /// A process whose machine was suspended does not count that time.
-    SteadyClock,
-}
-
 #[derive(Clone, Debug, Default)]
 struct Disk {
     hard_state: HardState,
@@ -63,6 +24,24 @@
     entries: BTreeMap<u64, Entry>,
 }
 
+impl Disk {
+    fn keep(&mut self, ready: &Ready) {
+        if let Some(state) = ready.hard_state {
+            self.hard_state = state;
+        }
+        if let Some(snapshot) = &ready.snapshot {
+            self.entries.clear();
+            self.snapshot = Some(snapshot.clone());
+        }
+        if let Some(first) = ready.truncate_from {
+            self.entries.split_off(&first);
+        }
+        for entry in &ready.entries {
+            self.entries.insert(entry.index, entry.clone());
+        }
+    }
+}
+
 struct Machine {
     name: String,
     member: Member,
@@ -86,7 +65,7 @@
     message: Message,
 }
 
-/// Everything.
+/// All machines of a group, the messages between them, and what the checks know.
 pub struct World {
     now: u64,
     random: ChaCha8Rng,
@@ -262,7 +241,7 @@
         self.now - self.machines[number].clock_lag
     }
 
-    /// At no moment do two processes count as surely leading: each may give orders then.
+    /// At no moment are two processes confirmed leaders: each may give orders then.
     fn check_one_holder(&self) {
         let holders = (0..self.machines.len()).filter(|number| {
             let machine = &self.machines[*number];
@@ -329,202 +308,6 @@
         from.cut_until <= self.now && to.cut_until <= self.now && from.mute_until <= self.now
     }
 
-    fn step(&mut self, number: usize) {
-        let now = self.now;
-        if self.machines[number].paused_until > now || self.machines[number].process.is_none() {
-            return;
-        }
-        let own_now = self.clock(number);
-        if let Some(process) = &mut self.machines[number].process {
-            process.tick(own_now);
-        }
-        self.note_leader(number);
-        self.tend_members(number);
-        for _ in 0..8 {
-            if !self.settle(number) {
-                break;
-            }
-        }
-    }
-
-    fn note_leader(&mut self, number: usize) {
-        let process = self.machines[number].process.as_ref().expect("running");
-        if process.is_leader() {
-            let known = self.leaders.insert(process.term(), process.id());
-            assert!(
-                known.is_none_or(|known| known == process.id()),
-                "two leaders in term {}",
-                process.term()
-            );
-        }
-    }
-
-    /// Writes, sends, applies; true if something was done.
-    fn settle(&mut self, number: usize) -> bool {
-        let sent_at = self.now;
-        let now = self.clock(number);
-        let machine = &mut self.machines[number];
-        let process = machine.process.as_mut().expect("running");
-        process.replicate(now);
-        let ready = process.take_ready();
-        if ready.must_sync() || !ready.messages.is_empty() {
-            let kept = (&ready.hard_state, &ready.snapshot, &ready.entries);
-            let decided = (kept, ready.truncate_from, &ready.messages);
-            let bytes = rmp_serde::to_vec(&decided).expect("encoded");
-            self.digest.add_bytes(0, &bytes);
-        }
-        let mut did = ready.must_sync() || !ready.messages.is_empty();
-        if let Some(state) = ready.hard_state {
-            machine.disk.hard_state = state;
-        }
-        if let Some(snapshot) = &ready.snapshot {
-            machine.disk.entries.clear();
-            machine.applied = decode(&snapshot.state);
-            machine.disk.snapshot = Some(snapshot.clone());
-        }
-        if let Some(first) = ready.truncate_from {
-            machine.disk.entries.split_off(&first);
-        }
-        for entry in &ready.entries {
-            machine.disk.entries.insert(entry.index, entry.clone());
-        }
-        process.persisted(process.last_index());
-        let committed = process.take_committed(usize::MAX);
-        did |= !committed.is_empty();
-        let id = machine.member.id;
-        for entry in &committed {
-            if let Payload::Command(command) = &entry.payload {
-                machine.applied.insert(entry.index, command.clone());
-            }
-        }
-        let state = encode(&machine.applied);
-        for (member, next) in &ready.history_wanted {
-            did = true;
-            match stored_entries(&machine.disk, *next) {
-                Some((term, entries)) => process.send_stored(*member, term, entries, now),
-                None => {
-                    let snapshot = process.snapshot(state.clone());
-                    process.send_snapshot(*member, snapshot, now);
-                }
-            }
-        }
-        process.compact(400);
-        for entry in committed {
-            self.check_applied(&entry);
-            self.acknowledge(id, &entry);
-        }
-        for (to, message) in ready.messages {
-            let delay = self.random.random_range(1..8);
-            self.parcels.push(Parcel {
-                at: sent_at + delay,
-                from: id,
-                to,
-                message,
-            });
-        }
-        did
-    }
-
-    fn check_applied(&mut self, entry: &Entry) {
-        if let Payload::Command(command) = &entry.payload {
-            let known = self
-                .truth
-                .entry(entry.index)
-                .or_insert_with(|| command.clone());
-            assert_eq!(known, command, "index {} applied differently", entry.index);
-        }
-    }
-
-    fn acknowledge(&mut self, id: MemberId, entry: &Entry) {
-        let Payload::Command(command) = &entry.payload else {
-            return;
-        };
-        let waited = self
-            .awaiting
-            .iter()
-            .position(|(by, index, own)| *by == id && *index == entry.index && own == command);
-        let process = self.machines.iter().find(|one| one.member.id == id);
-        let enough = process
-            .and_then(|one| one.process.as_ref())
-            .is_some_and(|one| one.quorum() > 1);
-        if let Some(waited) = waited {
-            self.awaiting.remove(waited);
-            if enough {
-                self.acknowledged.insert(entry.index, command.clone());
-            }
-        }
-    }
-
-    fn tend_members(&mut self, number: usize) {
-        let world_now = self.now;
-        let now = self.clock(number);
-        let peers: Vec<Member> = self
-            .machines
-            .iter()
-            .filter(|one| one.process.is_some() && one.cut_until <= world_now)
-            .map(|one| one.member.clone())
-            .collect();
-        let process = self.machines[number].process.as_mut().expect("running");
-        for voter in process.members().to_vec() {
-            let came = peers
-                .iter()
-                .any(|one| one.machine == voter.machine && one.id != voter.id);
-            if came {
-                process.note_lost(voter.id);
-            }
-        }
-        if !process.is_leader() {
-            return;
-        }
-        for peer in &peers {
-            let votes = process.members().iter().any(|one| one.id == peer.id);
-            if !votes && peer.id != process.id() {
-                process.add_learner(peer.clone(), now);
-            }
-        }
-        if process.may_change_members().is_err() {
-            return;
-        }
-        let mut known: BTreeMap<MemberId, Member> = BTreeMap::new();
-        for member in peers.into_iter().chain(process.members().to_vec()) {
-            known.insert(member.id, member);
-        }
-        let candidates: Vec<Candidate> = known
-            .into_values()
-            .map(|member| Candidate {
-                lag: process.lag_of(member.id),
-                silent_ms: process
-                    .progress_of(member.id)
-                    .map(|peer| now - peer.heard_at),
-                member,
-            })
-            .collect();
-        let voters = process.members();
-        let retiring = &self.retiring;
-        let places = Places::new(&self.wanted, process.id(), voters, &candidates, retiring);
-        let situation = Situation {
-            own: process.id(),
-            voters: process.members(),
-            candidates: &candidates,
-            retiring: &self.retiring,
-            target: TARGET,
-            places: &places,
-        };
-        let next = successors(&situation);
-        match next_step(&situation) {
-            Step::Stay => {}
-            Step::Change(members) => {
-                let _ = process.propose_members(members, now);
-            }
-            Step::HandOver if self.wanted.regions.is_bound() => {
-                process.transfer_leadership_to(&next);
-            }
-            Step::HandOver => {
-                process.transfer_leadership();
-            }
-        }
-    }
-
     pub fn leader(&self) -> Option<usize> {
         let leads = |one: &Machine| {
             one.process.as_ref().is_some_and(Consensus::is_established)
@@ -566,169 +349,9 @@
             assert_eq!(applied.get(index), Some(command), "index {index} is lost");
         }
     }
-
-    fn live(&self, number: usize) -> Option<usize> {
-        let live: Vec<usize> = (0..self.machines.len())
-            .filter(|number| !self.machines[*number].gone)
-            .collect();
-        live.get(number % live.len().max(1)).copied()
-    }
-
-    fn kill(&mut self, number: usize, for_ms: u64) {
-        let until = self.now + for_ms;
-        let mutation = self.mutation;
-        let machine = &mut self.machines[number];
-        match mutation {
-            Some(Mutation::UnsyncedEntries) => {
-                let last = machine.disk.entries.keys().next_back().copied();
-                let kept = last.unwrap_or(0).saturating_sub(6);
-                machine.disk.entries.split_off(&(kept + 1));
-            }
-            Some(Mutation::ForgottenVotes) => machine.disk.hard_state = HardState::default(),
-            Some(Mutation::KeptIdentity | Mutation::SteadyClock) | None => {}
-        }
-        machine.process = None;
-        machine.down_until = until;
-        let id = machine.member.id;
-        self.awaiting.retain(|(by, _, _)| *by != id);
-        self.parcels.retain(|parcel| parcel.to != id);
-    }
-
-    fn wipe(&mut self, number: usize, for_ms: u64) {
-        self.kill(number, for_ms);
-        let name = self.machines[number].name.clone();
-        let member = self.new_member(&name, number);
-        let keeps_identity = self.mutation == Some(Mutation::KeptIdentity);
-        let machine = &mut self.machines[number];
-        machine.disk = Disk::default();
-        if !keeps_identity {
-            machine.member = member;
-        }
-    }
-
-    pub fn inflict(&mut self, fault: &Fault) {
-        let now = self.now;
-        let number = match fault {
-            Fault::Kill(number)
-            | Fault::PowerLoss(number)
-            | Fault::Wipe(number)
-            | Fault::Pause(number)
-            | Fault::Cut(number)
-            | Fault::CutOneWay(number)
-            | Fault::WipeOnePowerLossAll(number)
-            | Fault::Retire(number) => self.live(*number),
-            Fault::PauseLeader => self.leader(),
-            Fault::PowerLossAll | Fault::Add | Fault::WipeBehindCut => Some(0),
-        };
-        let Some(number) = number else {
-            return;
-        };
-        match fault {
-            Fault::Kill(_) | Fault::PowerLoss(_) => self.kill(number, 300),
-            Fault::Wipe(_) => {
-                // Another disk may only be lost once the one before is replaced.
-                self.run(4_500);
-                self.propose_some();
-                self.run(30);
-                self.wipe(number, 400);
-                self.run(4_500);
-            }
-            Fault::Pause(_) | Fault::PauseLeader => {
-                const PAUSE: u64 = 1_400;
-                self.machines[number].paused_until = now + PAUSE;
-                if self.mutation == Some(Mutation::SteadyClock) {
-                    self.machines[number].clock_lag += PAUSE;
-                }
-            }
-            Fault::Cut(_) => self.machines[number].cut_until = now + 1_400,
-            Fault::CutOneWay(_) => self.machines[number].mute_until = now + 1_400,
-            Fault::PowerLossAll => {
-                for number in 0..self.machines.len() {
-                    self.kill(number, 200);
-                }
-            }
-            Fault::WipeOnePowerLossAll(_) => {
-                self.run(4_500);
-                self.propose_some();
-                self.run(30);
-                for other in 0..self.machines.len() {
-                    if other != number {
-                        self.kill(other, 200);
-                    }
-                }
-                self.wipe(number, 300);
-                self.run(4_500);
-            }
-            Fault::WipeBehindCut => self.wipe_behind_cut(),
-            Fault::Add => {
-                if self.machines.len() < 6 {
-                    self.add_machine();
-                }
-            }
-            Fault::Retire(_) => self.retire(number),
-        }
-    }
-
-    fn wipe_behind_cut(&mut self) {
-        self.run(4_500);
-        let Some(leader) = self.leader() else {
-            return;
-        };
-        let process = self.machines[leader].process.as_ref().expect("leads");
-        let voters: Vec<MemberId> = process.members().iter().map(|one| one.id).collect();
-        let followers: Vec<usize> = (0..self.machines.len())
-            .filter(|number| *number != leader)
-            .filter(|number| voters.contains(&self.machines[*number].member.id))
-            .collect();
-        let [behind, lost] = followers[..] else {
-            return;
-        };
-        self.machines[behind].cut_until = self.now + 400;
-        self.run(20);
-        self.propose_some();
-        self.run(100);
-        self.kill(leader, 3_500);
-        self.wipe(lost, 100);
-        self.run(5_000);
-    }
-
-    fn retire(&mut self, number: usize) {
-        let staying = self.machines.iter().filter(|one| !one.gone).count();
-        if staying <= 2 {
-            return;
-        }
-        let name = self.machines[number].name.clone();
-        self.retiring.insert(name.clone());
-        self.propose_some();
-        let must_stay = staying <= TARGET;
-        for _ in 0..200 {
-            self.run(50);
-            let Some(leader) = self.leader() else {
-                continue;
-            };
-            let process = self.machines[leader].process.as_ref().expect("leads");
-            let votes = process.members().iter().any(|one| one.machine == name);
-            if !votes && process.may_change_members().is_ok() {
-                self.kill(number, 0);
-                self.machines[number].gone = true;
-                return;
-            }
-        }
-        assert!(must_stay, "{name} was not emptied");
-        self.retiring.remove(&name);
-    }
-
-    pub fn heal(&mut self) {
-        for machine in &mut self.machines {
-            machine.down_until = 0;
-            machine.paused_until = 0;
-            machine.cut_until = 0;
-            machine.mute_until = 0;
-        }
-    }
 }
 
-/// Entries out of a disk that keeps only the newest, as one begun anew does.
+/// Entries out of a disk that keeps only the newest, as one that was rewritten does.
 fn stored_entries(disk: &Disk, next: u64) -> Option<(u64, Vec<Entry>)> {
     const KEPT: usize = 12;
     let oldest = disk.entries.keys().rev().nth(KEPT).copied().unwrap_or(0);
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,86 +1,67 @@
-//! Elections: probes, votes, the end of a leadership.
+//! Elections: probes (pre-votes), votes, hand-overs, the end of a leadership.
 
 use crate::message::{MemberId, Message, Payload};
-use crate::node::{Consensus, Role};
-use crate::replication::Progress;
+use crate::node::Consensus;
+use crate::role::{Ballot, Progress, Role};
 use brasspond_units::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest extra wait, in ms, of a member that saw its leader's process end.
-const QUICK_ELECTION_SPREAD: Millis = 120;
+/// Waits of a member that saw its leader's process end, before it becomes a candidate: drawn from
+/// this range so that seldom two do at once. Not measured.
+const QUICK_ELECTION_WAITS: std::ops::Range<Millis> = 10..120;
 
-/// Shortest pause before a member just started asks all others, in ms: links
-/// are being made.
-const EARLY_PAUSE: Millis = 60;
+/// Pauses between two early elections of a member that just started: its links are being made,
+/// and others ask too. Not measured.
+const EARLY_PAUSES: std::ops::Range<Millis> = 60..180;
 
-/// Extra pause of a member that would rather have another lead, in ms: long enough
-/// for that one to ask twice.
-const EARLY_COURTESY: Millis = 220;
-
-/// How a member stands for election.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Ballot {
-    /// Only asks whether it could win.
-    pub probe: bool,
-    /// At the wish of the leader before.
-    pub transfer: bool,
-    /// Wins only if every voter agrees.
-    pub unanimous: bool,
-}
-
-impl Ballot {
-    /// Asks whether it could win.
-    pub const PROBE: Self = Self {
-        probe: true,
-        transfer: false,
-        unanimous: false,
-    };
-}
+/// Head start of the member that is to lead after all processes ended at once: time for it to ask
+/// twice.
+const EARLY_HEAD_START: Millis = 220;
 
 impl Consensus {
     /// When to ask early next.
     pub(crate) fn next_early(&mut self, now: Millis) -> Millis {
-        now + rand::Rng::random_range(&mut self.random, EARLY_PAUSE..3 * EARLY_PAUSE)
+        now + rand::Rng::random_range(&mut self.random, EARLY_PAUSES)
     }
 
-    /// Lets another member ask first after all processes ended at once: one whose
-    /// lead is worth more. Call before time passes.
+    /// Lets another member ask first after all processes ended at once. Call it before the first
+    /// [`Consensus::tick`].
     pub fn wait_for_another(&mut self, now: Millis) {
-        self.early_at = Some(self.next_early(now) + EARLY_COURTESY);
+        self.early_at = Some(self.next_early(now) + EARLY_HEAD_START);
     }
 
-    /// After all processes ended at once nobody can lead, and waiting for a
-    /// silence is waiting for nothing. A member that just started asks whether
-    /// every voter agrees, again and again for the length of an election.
-    pub(crate) fn stand_early(&mut self, now: Millis) {
+    /// After all processes ended at once there is no leader whose silence to wait for. A member
+    /// that just started asks whether every voter agrees, again and again for the length of an
+    /// election timeout.
+    pub(crate) fn start_early_election(&mut self, now: Millis) {
         let is_over = now >= self.early_until || self.leader_heard_at.is_some();
         if is_over {
             self.early_at = None;
             return;
         }
         self.early_at = Some(self.next_early(now));
-        let is_standing = matches!(self.role, Role::Candidate { probe: false, .. });
-        if !is_standing {
+        let asks_for_votes = matches!(&self.role, Role::Candidate { ballot, .. } if !ballot.probe);
+        if !asks_for_votes {
             let ballot = Ballot {
                 unanimous: true,
                 ..Ballot::PROBE
             };
-            self.stand(ballot, now);
+            self.start_election(ballot, now);
         }
     }
 
-    /// Tells that the leader's process is known to have ended: the member stands
-    /// soon, without waiting for a whole silence.
+    /// The leader's process is known to have ended: this member becomes a candidate soon, without
+    /// waiting for an election timeout.
     pub fn leader_ended(&mut self, leader: MemberId, now: Millis) {
         if self.leader() == Some(leader) && !self.is_leader() {
-            let spread = rand::Rng::random_range(&mut self.random, 10..QUICK_ELECTION_SPREAD);
+            let spread = rand::Rng::random_range(&mut self.random, QUICK_ELECTION_WAITS);
             self.leader_heard_at = None;
             self.election_at = self.election_at.min(now + spread);
         }
     }
 
-    /// Hands leadership to the voter that is furthest along; false where there
-    /// is none.
+    /// Hands leadership to the voter that was heard last and, of several, has most of the log;
+    /// false where there is none.
     pub fn transfer_leadership(&mut self) -> bool {
         let others = self.other_voters();
         self.transfer_leadership_to(&others)
@@ -104,8 +85,8 @@
         true
     }
 
-    /// A member with a live leader does not let itself be disturbed by one that
-    /// was cut off or removed.
+    /// Whether a message has no effect: a request for a vote while this member hears a live leader
+    /// or is one. It comes from a member that was isolated or removed.
     pub(crate) fn ignores(&self, message: &Message, now: Millis) -> bool {
         let Message::Vote {
             probe, transfer, ..
@@ -123,8 +104,8 @@
         hears_leader || (*probe && leads)
     }
 
-    /// A newer term ends whatever this member was; a probe does not count.
-    pub(crate) fn heed_term(&mut self, message: &Message, now: Millis) {
+    /// A message of a newer term makes this member its follower; a probe does not.
+    pub(crate) fn follow_newer_term(&mut self, message: &Message, now: Millis) {
         let is_probe = matches!(
             message,
             Message::Vote { probe: true, .. }
@@ -143,36 +124,27 @@
         self.follow(message.term(), None);
     }
 
-    pub(crate) fn stand(&mut self, ballot: Ballot, now: Millis) {
-        let Ballot {
-            probe,
-            transfer,
-            unanimous,
-        } = ballot;
+    /// Becomes a candidate and asks all other voters; without effect where it does not vote.
+    pub(crate) fn start_election(&mut self, ballot: Ballot, now: Millis) {
         if !self.is_voter() {
             return;
         }
-        let mut term = self.term();
-        if probe {
-            term += 1;
-        } else {
-            term += 1;
+        let term = self.term() + 1;
+        if !ballot.probe {
             self.set_hard_state(term, Some(self.id));
         }
         self.leader_heard_at = None;
-        self.stood_at = now;
+        self.votes_asked_at = now;
         self.role = Role::Candidate {
             votes: BTreeSet::from([self.id]),
-            probe,
-            transfer,
-            unanimous,
+            ballot,
         };
         let message = Message::Vote {
             term,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
-            probe,
-            transfer,
+            probe: ballot.probe,
+            transfer: ballot.transfer,
         };
         for voter in self.other_voters() {
             self.send(voter, message.clone());
@@ -219,44 +191,38 @@
         now: Millis,
     ) {
         let current = self.term();
-        let Role::Candidate { votes, probe, .. } = &mut self.role else {
+        let Role::Candidate { votes, ballot } = &mut self.role else {
             return;
         };
-        let asked = if *probe { current + 1 } else { current };
-        if granted && *probe == is_probe && term == asked {
+        let asked = if ballot.probe { current + 1 } else { current };
+        if granted && ballot.probe == is_probe && term == asked {
             votes.insert(from);
             self.count_votes(now);
         }
     }
 
     fn count_votes(&mut self, now: Millis) {
-        let Role::Candidate {
-            votes,
-            probe,
-            transfer,
-            unanimous,
-        } = &self.role
-        else {
+        let Role::Candidate { votes, ballot } = &self.role else {
             return;
         };
-        let (probe, transfer) = (*probe, *transfer);
+        let ballot = *ballot;
         let voters = self.members.iter();
         let yes = voters.filter(|member| votes.contains(&member.id)).count();
         let silent = self.members.iter().filter(|member| {
             let is_lost = self.lost.contains(&member.id);
             !votes.contains(&member.id) && !is_lost
         });
-        let is_agreed = !*unanimous || silent.count() == 0;
+        let is_agreed = !ballot.unanimous || silent.count() == 0;
         if yes < self.election_quorum() || !is_agreed {
             return;
         }
-        if probe {
+        if ballot.probe {
             let ballot = Ballot {
                 probe: false,
-                transfer,
                 unanimous: false,
+                ..ballot
             };
-            self.stand(ballot, now);
+            self.start_election(ballot, now);
         } else {
             self.begin_to_lead(now);
         }
@@ -265,9 +231,9 @@
     fn begin_to_lead(&mut self, now: Millis) {
         let mut progress = BTreeMap::new();
         for voter in self.other_voters() {
-            // Votes may be read long after they were given.
+            // Votes may be read long after they were given: contact counts from the request.
             let next = self.log.last_index() + 1;
-            progress.insert(voter, Progress::new(next, self.stood_at));
+            progress.insert(voter, Progress::new(next, self.votes_asked_at));
         }
         self.learners.clear();
         self.role = Role::Leader {
@@ -276,7 +242,7 @@
         };
         self.append_own(Payload::Nothing);
         self.heartbeat_at = now;
-        self.lead(now);
+        self.tick_leader(now);
     }
 
     pub(crate) fn on_transfer(&mut self, term: u64, now: Millis) {
@@ -286,7 +252,7 @@
                 transfer: true,
                 unanimous: false,
             };
-            self.stand(ballot, now);
+            self.start_election(ballot, now);
         }
     }
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -6,6 +6,9 @@
 //! writes and syncs **before** it sends; nothing else makes an acknowledgement
 //! durable.
 //!
+//! [`Consensus`] is one member. Its parts: elections, replication, entries (synced, committed,
+//! applied), membership, quorums, and currency (whether a follower may answer reads).
+//!
 //! Members are identified by a number drawn when their disk was first used, so
 //! a machine that comes back with an empty disk is a new member and cannot vote
 //! as the old one. Membership changes one member at a time (Ongaro's thesis,
@@ -14,14 +17,20 @@
 
 mod currency;
 mod election;
+mod entries;
 mod log;
 mod membership;
 mod message;
 mod node;
+mod quorum;
+mod ready;
 mod replication;
+mod role;
+mod timing;
 
-pub use crate::log::Log;
 pub use membership::MembershipError;
 pub use message::{Entry, HardState, Member, MemberId, Message, Payload, Snapshot};
-pub use node::{Consensus, Persisted, Ready, Role, Timing};
-pub use replication::READ_LEASE;
+pub use node::Consensus;
+pub use ready::{Persisted, Ready};
+pub use role::Progress;
+pub use timing::{READ_LEASE, Timing};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -7,10 +7,12 @@
 ///
 /// Invariant: entry `i` of the queue has index `base_index + 1 + i`.
 #[derive(Clone, Debug, Default)]
-pub struct Log {
+pub(crate) struct Log {
+    /// Index and term of the entry before the first in memory.
     base_index: u64,
     base_term: u64,
     entries: VecDeque<Entry>,
+    /// Bytes of their commands.
     bytes: usize,
 }
 
@@ -55,7 +57,9 @@
     /// The entry at `index`.
     pub fn get(&self, index: u64) -> Option<&Entry> {
         let offset = index.checked_sub(self.base_index + 1)?;
-        self.entries.get(usize::try_from(offset).ok()?)
+        // An offset that this machine cannot address lies behind all entries.
+        let offset = usize::try_from(offset).ok()?;
+        self.entries.get(offset)
     }
 
     /// Entries from `first` on, up to about `limit` bytes but at least one.
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,8 +1,8 @@
 //! Changes of membership, one member at a time.
 
 use crate::message::{Member, MemberId, Payload};
-use crate::node::{Consensus, Role};
-use crate::replication::Progress;
+use crate::node::Consensus;
+use crate::role::{Progress, Role};
 use brasspond_units::Millis;
 
 /// Why a change of membership is not made now.
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Entries a member lacks.
+    /// How many entries a member lacks; none: this member does not send it the log.
     pub fn lag_of(&self, id: MemberId) -> Option<u64> {
         let peer = self.progress_of(id)?;
         Some(self.log.last_index().saturating_sub(peer.matched))
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,5 +1,6 @@
-//! Entries of the log and messages between members.
+//! Entries of the log and messages between members. All of them go over links or to disk.
 
+use brasspond_units::Millis;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -11,11 +12,11 @@
 /// A member of the group, or one about to join.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Identity, one for each life of a disk.
+    /// Identity: a machine whose disk was lost has a new one.
     pub id: MemberId,
     /// Name of the machine; survives the loss of its disk.
     pub machine: String,
-    /// Where the member listens.
+    /// Where other processes connect to.
     pub address: SocketAddr,
     /// Zone of the machine.
     pub zone: String,
@@ -27,11 +28,11 @@
 /// What an entry of the log holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a new leader commits what came before it with this.
+    /// Nothing: a new leader commits the entries of earlier terms with it.
     Nothing,
     /// A command for the state machine, opaque here.
     Command(Bytes),
-    /// The voters from here on.
+    /// The voters from this entry on, committed or not.
     Members(Vec<Member>),
 }
 
@@ -42,23 +43,23 @@
     pub term: u64,
     /// Position, from 1.
     pub index: u64,
-    /// Content.
+    /// What it holds.
     pub payload: Payload,
 }
 
-/// What a member must remember about elections; synced before it answers.
+/// What a member keeps of elections; synced before it answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Newest term heard of.
+    /// Newest term that it knows.
     pub term: u64,
-    /// Whom this member voted for in that term.
+    /// For whom it voted in that term; none: nobody yet.
     pub voted_for: Option<MemberId>,
 }
 
-/// The state machine after `index`, in place of the log up to there.
+/// The state machine after the entry `index`, which replaces the log up to there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last entry contained.
+    /// Index of the last entry that it contains.
     pub index: u64,
     /// Term of that entry.
     pub term: u64,
@@ -79,9 +80,9 @@
         last_index: u64,
         /// Term of the candidate's last entry.
         last_term: u64,
-        /// Nothing is promised yet.
+        /// A pre-vote: who answers promises nothing.
         probe: bool,
-        /// The leader itself asked for this candidacy.
+        /// The leader itself asked for this candidacy: its followers do not ignore it.
         transfer: bool,
     },
     /// Answer to [`Message::Vote`].
@@ -90,10 +91,10 @@
         term: u64,
         /// Whether the vote is given.
         granted: bool,
-        /// Answers a probe.
+        /// Whether it answers a probe.
         probe: bool,
     },
-    /// Entries after `previous_index`; none as a heartbeat.
+    /// Entries after `previous_index`; without entries it is a heartbeat.
     Append {
         /// Term of the leader.
         term: u64,
@@ -105,10 +106,11 @@
         entries: Vec<Entry>,
         /// All up to here are committed.
         commit: u64,
-        /// All that was ever acknowledged lies at or before this index; none
-        /// where the leader is not sure that it still leads.
+        /// All entries that were ever acknowledged lie at or before this index; none: the sender
+        /// is no confirmed leader.
         read_index: Option<u64>,
-        /// When it was sent, by the leader's clock, in ms.
+        /// When it was sent, by the leader's steady clock, in ms; 0: unknown, from a
+        /// process of an earlier version.
         #[serde(default)]
         sent_at: u64,
     },
@@ -116,25 +118,28 @@
     AppendReply {
         /// The follower's term.
         term: u64,
-        /// Whether the entry before matched.
+        /// Whether the log had the entry before, with its term.
         matched: bool,
-        /// With `matched`: the last index known equal. Else: where to go on.
+        /// With `matched`: the last index up to which the logs are equal. Without: the index after
+        /// which the leader sends next.
         index: u64,
-        /// When what it answers was sent, by the leader's clock, in ms.
+        /// When what it answers was sent, by the leader's steady clock, in ms; 0: unknown, from a
+        /// process of an earlier version.
         #[serde(default)]
         sent_at: u64,
     },
-    /// A snapshot in place of entries the leader no longer has.
+    /// A snapshot in place of entries that the leader does not have any more.
     Install {
         /// Term of the leader.
         term: u64,
         /// The snapshot.
         snapshot: Snapshot,
-        /// When it was sent, by the leader's clock, in ms.
+        /// When it was sent, by the leader's steady clock, in ms; 0: unknown, from a
+        /// process of an earlier version.
         #[serde(default)]
         sent_at: u64,
     },
-    /// The leader asks the receiver to stand for election at once.
+    /// The leader asks the receiver to become a candidate at once.
     Transfer {
         /// Term of the leader.
         term: u64,
@@ -154,3 +159,21 @@
         }
     }
 }
+
+/// [`Message::Append`] without its term, as a follower handles it.
+pub(crate) struct Appended {
+    /// Index and term of the entry before the first.
+    pub previous: (u64, u64),
+    pub entries: Vec<Entry>,
+    pub commit: u64,
+    pub read_index: Option<u64>,
+    pub sent_at: Millis,
+}
+
+/// When the message that a member answered was sent, and when the answer is read, by the
+/// leader's clock.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ReplyTimes {
+    pub sent_at: Millis,
+    pub now: Millis,
+}
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,136 +1,59 @@
-//! One member: its state, and what it wants done.
+//! One member of the group: its state, what others ask of it, and which part handles what.
 
 use crate::currency::Currency;
-use crate::election::Ballot;
 use crate::log::Log;
-use crate::message::{Entry, HardState, Member, MemberId, Message, Payload, Snapshot};
-use crate::replication::{Appended, Progress, ReplyTimes};
+use crate::message::{Appended, Entry, HardState, Member, MemberId, Message, Payload, ReplyTimes};
+use crate::ready::{Persisted, Ready};
+use crate::role::{Ballot, Role};
+use crate::timing::Timing;
 use brasspond_units::Millis;
 use bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Periods of a group.
-#[derive(Clone, Copy, Debug)]
-pub struct Timing {
-    /// Pause between heartbeats of a leader, in ms.
-    pub heartbeat: Millis,
-    /// Shortest silence of a leader after which another is sought, in ms; the
-    /// longest is twice that.
-    pub election: Millis,
-    /// Pause after which an unanswered append is sent again, in ms.
-    pub resend: Millis,
-}
-
-impl Default for Timing {
-    fn default() -> Self {
-        Self {
-            heartbeat: 150,
-            election: 600,
-            resend: 400,
-        }
-    }
-}
-
-/// What a member kept on its disk.
-#[derive(Clone, Debug, Default)]
-pub struct Persisted {
-    /// Elections.
-    pub hard_state: HardState,
-    /// Newest snapshot; none where the log is whole.
-    pub snapshot: Option<Snapshot>,
-    /// Entries after the snapshot.
-    pub entries: Vec<Entry>,
-}
-
-/// What the caller must do, in this order: write and sync `hard_state`,
-/// `snapshot`, `truncate_from` and `entries`; call [`Consensus::persisted`];
-/// send `messages`; send the history wanted.
-#[derive(Debug, Default)]
-pub struct Ready {
-    /// To be written where it changed.
-    pub hard_state: Option<HardState>,
-    /// Takes the place of state machine and log.
-    pub snapshot: Option<Snapshot>,
-    /// Entries from here on are void.
-    pub truncate_from: Option<u64>,
-    /// Entries to be appended to the log on disk.
-    pub entries: Vec<Entry>,
-    /// Messages to members, to be sent after the sync.
-    pub messages: Vec<(MemberId, Message)>,
-    /// Members that need entries no longer in memory, from this index on:
-    /// [`Consensus::send_stored`], or else [`Consensus::send_snapshot`].
-    pub history_wanted: Vec<(MemberId, u64)>,
-}
-
-impl Ready {
-    /// Whether something must be synced before messages may go.
-    pub fn must_sync(&self) -> bool {
-        self.hard_state.is_some()
-            || self.snapshot.is_some()
-            || self.truncate_from.is_some()
-            || !self.entries.is_empty()
-    }
-}
-
-/// What a member is at present.
-#[derive(Clone, Debug)]
-pub enum Role {
-    /// Follows a leader, or waits to hear of one.
-    Follower {
-        /// Leader of the term, once heard of.
-        leader: Option<MemberId>,
-    },
-    /// Stands for election.
-    Candidate {
-        /// Members that said yes.
-        votes: BTreeSet<MemberId>,
-        /// Only asks whether it could win.
-        probe: bool,
-        /// At the wish of the leader before.
-        transfer: bool,
-        /// Wins only if every voter agrees: it may be sooner than a leader's
-        /// lease ends, and a living leader never agrees.
-        unanimous: bool,
-    },
-    /// Leads.
-    Leader {
-        /// What each other member has.
-        progress: BTreeMap<MemberId, Progress>,
-        /// When it began to lead.
-        since: Millis,
-    },
-}
-
-/// One member of the group. See the module's page for the order of calls.
+/// One member of the group. [`Ready`] gives the order of calls.
 pub struct Consensus {
     pub(crate) id: MemberId,
     pub(crate) timing: Timing,
     pub(crate) hard_state: HardState,
     pub(crate) log: Log,
+    /// Voters by the newest entry that names them.
     pub(crate) members: Vec<Member>,
+    /// Index of the entry that names `members`.
     pub(crate) members_index: u64,
-    /// Voters before the newest change, in case that is truncated.
+    /// Voters before the newest change, with the index of their entry, in case that change is
+    /// truncated.
     pub(crate) members_before: Option<(u64, Vec<Member>)>,
+    /// Members that a leader sends the log without a vote.
     pub(crate) learners: BTreeMap<MemberId, Member>,
     /// Members whose disks are known to be lost.
     pub(crate) lost: BTreeSet<MemberId>,
+    /// Last committed index.
     pub(crate) commit: u64,
+    /// Last index given out to be applied.
     pub(crate) applied: u64,
+    /// Last index synced to disk.
     pub(crate) persisted: u64,
     pub(crate) role: Role,
+    /// When this member becomes a candidate if it hears no leader.
     pub(crate) election_at: Millis,
     /// When this member, just started, next asks whether all voters just
     /// started; none once it has heard of a leader, or long enough.
     pub(crate) early_at: Option<Millis>,
+    /// When it stops asking that.
     pub(crate) early_until: Millis,
+    /// When a leader sends its next heartbeats.
     pub(crate) heartbeat_at: Millis,
+    /// When a leader was last heard; none: not since the last election or start.
     pub(crate) leader_heard_at: Option<Millis>,
     /// When this member last asked for votes.
-    pub(crate) stood_at: Millis,
+    pub(crate) votes_asked_at: Millis,
+    /// What a follower knows of its own age.
     pub(crate) currency: Currency,
+    /// Spreads election timeouts.
     pub(crate) random: ChaCha8Rng,
+    /// What the caller must do, collected since it last asked.
     pub(crate) ready: Ready,
 }
 
@@ -160,7 +83,7 @@
             early_until: now + timing.election,
             heartbeat_at: 0,
             leader_heard_at: None,
-            stood_at: now,
+            votes_asked_at: now,
             currency: Currency::default(),
             random: ChaCha8Rng::seed_from_u64(seed ^ id),
             ready: Ready::default(),
@@ -193,7 +116,7 @@
         self.id
     }
 
-    /// Newest term heard of.
+    /// Newest term that this member knows.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
@@ -209,20 +132,6 @@
         self.is_leader() && self.log.term_at(self.commit) == Some(self.term())
     }
 
-    /// Whether a quorum answered this leader within `window` ms.
-    pub fn has_quorum_contact(&self, window: Millis, now: Millis) -> bool {
-        let Role::Leader { progress, .. } = &self.role else {
-            return false;
-        };
-        let heard = self.members.iter().filter(|member| {
-            member.id == self.id
-                || progress
-                    .get(&member.id)
-                    .is_some_and(|peer| peer.heard_at + window >= now)
-        });
-        heard.count() >= self.quorum()
-    }
-
     /// Leader of the term as far as this member knows.
     pub fn leader(&self) -> Option<MemberId> {
         match &self.role {
@@ -232,14 +141,6 @@
         }
     }
 
-    /// When this member began to lead.
-    pub fn leading_since(&self) -> Option<Millis> {
-        match &self.role {
-            Role::Leader { since, .. } => Some(*since),
-            _ => None,
-        }
-    }
-
     /// Voters by the newest entry that names them, committed or not.
     pub fn members(&self) -> &[Member] {
         &self.members
@@ -271,46 +172,6 @@
         self.log.last_index()
     }
 
-    /// Bytes of commands held in memory for followers.
-    pub fn log_bytes(&self) -> usize {
-        self.log.bytes()
-    }
-
-    /// Voters needed to commit: a majority, but never more than the voters
-    /// whose disks are not known to be lost.
-    pub fn quorum(&self) -> usize {
-        self.majority().min(self.survivors())
-    }
-
-    /// Voters needed to elect. An entry committed by a majority is held by at
-    /// least `majority - lost` survivors, so this many of them always include
-    /// one that holds it, and two elections always share a voter.
-    pub(crate) fn election_quorum(&self) -> usize {
-        let holds_all = self.members.len() - self.majority() + 1;
-        holds_all.max(self.survivors() / 2 + 1)
-    }
-
-    fn majority(&self) -> usize {
-        self.members.len() / 2 + 1
-    }
-
-    fn survivors(&self) -> usize {
-        let live = self
-            .members
-            .iter()
-            .filter(|one| !self.lost.contains(&one.id));
-        live.count()
-    }
-
-    /// Tells that a member's disk is lost for good: its machine came back under
-    /// another identity. Must be certain, since its vote is no longer waited
-    /// for where the others suffice (groups of an even size).
-    pub fn note_lost(&mut self, id: MemberId) {
-        if id != self.id {
-            self.lost.insert(id);
-        }
-    }
-
     /// Adds a command to the log; none where this member does not lead.
     pub fn propose(&mut self, command: Bytes) -> Option<u64> {
         if !self.is_leader() {
@@ -320,15 +181,15 @@
         Some(index)
     }
 
-    /// Lets time pass.
+    /// Lets time pass: heartbeats of a leader, elections of the others.
     pub fn tick(&mut self, now: Millis) {
         if self.is_leader() {
-            self.lead(now);
+            self.tick_leader(now);
         } else if now >= self.election_at {
             self.reset_election(now);
-            self.stand(Ballot::PROBE, now);
+            self.start_election(Ballot::PROBE, now);
         } else if self.early_at.is_some_and(|at| now >= at) {
-            self.stand_early(now);
+            self.start_early_election(now);
         }
     }
 
@@ -342,12 +203,12 @@
         }
     }
 
-    /// Takes a message from a member.
+    /// Handles a message of a member.
     pub fn receive(&mut self, from: MemberId, message: Message, now: Millis) {
         if self.ignores(&message, now) {
             return;
         }
-        self.heed_term(&message, now);
+        self.follow_newer_term(&message, now);
         match message {
             Message::Vote {
                 term,
@@ -397,72 +258,16 @@
         }
     }
 
-    /// Tells that everything in the last [`Ready`] up to `index` is synced.
-    pub fn persisted(&mut self, index: u64) {
-        self.persisted = index.min(self.log.last_index());
-        self.advance_commit();
-    }
-
     /// What there is to do since the last call.
     pub fn take_ready(&mut self) -> Ready {
         std::mem::take(&mut self.ready)
     }
 
-    /// Entries that are committed and not yet applied: about `limit` bytes of
-    /// commands, but at least one entry if there is one. A member that starts has its
-    /// whole log to apply and must go on answering others meanwhile.
-    pub fn take_committed(&mut self, limit: usize) -> Vec<Entry> {
-        let last = self.commit.min(self.persisted);
-        let mut entries = self.log.slice(self.applied + 1, limit);
-        entries.retain(|entry| entry.index <= last);
-        self.applied += entries.len() as u64;
-        self.currency.applied(self.applied);
-        entries
-    }
-
-    /// Whether committed entries are left to apply.
-    pub fn has_backlog(&self) -> bool {
-        self.applied < self.commit.min(self.persisted)
-    }
-
-    /// Whether this follower has applied all that was acknowledged up to `window`
-    /// ms ago. Call after [`Consensus::take_committed`], with its entries applied.
-    pub fn is_current(&self, window: Millis, now: Millis) -> bool {
-        self.currency.is_current(window, now)
-    }
-
-    /// Entries after the last applied one, for a file begun anew.
-    pub fn unapplied(&self) -> Vec<Entry> {
-        self.log.slice(self.applied + 1, usize::MAX)
-    }
-
-    /// What this member remembers about elections.
+    /// Term and vote, as they are to be kept.
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// Drops entries from memory that are applied, but for the last `keep`
-    /// bytes, which followers may still need.
-    pub fn compact(&mut self, keep: usize) {
-        while self.log.bytes() > keep && self.log.base_index() < self.applied {
-            self.log.compact(self.log.base_index() + 1);
-        }
-    }
-
-    /// Term and voters for a snapshot of the state after the last applied entry.
-    pub fn snapshot(&self, state: Bytes) -> Snapshot {
-        let members = match &self.members_before {
-            Some((_, before)) if self.members_index > self.applied => before.clone(),
-            _ => self.members.clone(),
-        };
-        Snapshot {
-            index: self.applied,
-            term: self.log.term_at(self.applied).unwrap_or_default(),
-            members,
-            state,
-        }
-    }
-
     pub(crate) fn append_own(&mut self, payload: Payload) -> u64 {
         let entry = Entry {
             term: self.term(),
@@ -475,29 +280,6 @@
         index
     }
 
-    pub(crate) fn append_to_memory(&mut self, entry: Entry) {
-        if let Payload::Members(members) = &entry.payload {
-            let before = std::mem::replace(&mut self.members, members.clone());
-            self.members_before = Some((self.members_index, before));
-            self.members_index = entry.index;
-        }
-        self.log.push(entry);
-    }
-
-    pub(crate) fn truncate(&mut self, first: u64) {
-        self.log.truncate(first);
-        self.ready.entries.retain(|entry| entry.index < first);
-        let from = self.ready.truncate_from.map_or(first, |old| old.min(first));
-        self.ready.truncate_from = Some(from);
-        self.persisted = self.persisted.min(first - 1);
-        if self.members_index >= first
-            && let Some((index, members)) = self.members_before.take()
-        {
-            self.members = members;
-            self.members_index = index;
-        }
-    }
-
     pub(crate) fn reset_election(&mut self, now: Millis) {
         let spread = self.random.random_range(0..=self.timing.election);
         self.election_at = now + self.timing.election + spread;
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,68 +1,17 @@
-//! Replication of the log from the leader to the others.
+//! Replication of the log: what the leader sends, what a follower makes of it, what is committed.
 
 use crate::log::Log;
-use crate::message::{Entry, MemberId, Message, Snapshot};
-use crate::node::{Consensus, Role};
+use crate::message::{Appended, Entry, MemberId, Message, ReplyTimes, Snapshot};
+use crate::node::Consensus;
+use crate::role::{Awaited, Progress, Role};
+use crate::timing::READ_LEASE;
 use brasspond_units::Millis;
 
-/// A leader is sure that it leads while a quorum answered it within this time, in
-/// ms. Shorter than the shortest silence after which another may lead.
-pub const READ_LEASE: Millis = 550;
-/// Bytes of entries in one message.
+/// Bytes of entries in one message: a large entry of results, or many small ones. Not measured.
 const APPEND_BYTES: usize = 512 * 1024;
-
-/// Pause before a snapshot is sent again, in ms.
-const SNAPSHOT_PAUSE: Millis = 3_000;
-
-/// What a leader knows of another member.
-#[derive(Clone, Debug)]
-pub struct Progress {
-    /// Next entry to send.
-    pub next: u64,
-    /// Last entry known to be the same there and synced.
-    pub matched: u64,
-    /// When the newest message that it answered was sent. Not when the answer was read: a
-    /// leader that stood still reads answers of long ago as it wakes, and two processes
-    /// counted as surely leading for up to 550 ms then.
-    pub heard_at: Millis,
-    /// The append that is not answered yet.
-    pub(crate) awaiting: Option<Awaited>,
-}
-
-/// An append under way to another member.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Awaited {
-    since: Millis,
-    last_index: u64,
-}
-
-/// What a leader sends a follower; see [`Message::Append`].
-pub(crate) struct Appended {
-    /// Index and term of the entry before the first.
-    pub previous: (u64, u64),
-    pub entries: Vec<Entry>,
-    pub commit: u64,
-    pub read_index: Option<u64>,
-    pub sent_at: Millis,
-}
-
-/// When what a member answered was sent, and when the answer is read, in ms.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct ReplyTimes {
-    pub sent_at: Millis,
-    pub now: Millis,
-}
-
-impl Progress {
-    pub(crate) fn new(next: u64, now: Millis) -> Self {
-        Self {
-            next,
-            matched: 0,
-            heard_at: now,
-            awaiting: None,
-        }
-    }
-}
+/// Added to the pause before an unanswered snapshot is sent again: it may be large, and is read and
+/// written by its receiver first. Not measured.
+const SNAPSHOT_EXTRA_PAUSE: Millis = 3_000;
 
 impl Consensus {
     /// What is known of a member; none unless this one leads.
@@ -89,7 +38,7 @@
     }
 
     /// Heartbeats, repeated sends, and stepping down without a quorum.
-    pub(crate) fn lead(&mut self, now: Millis) {
+    pub(crate) fn tick_leader(&mut self, now: Millis) {
         if now < self.heartbeat_at || self.step_down_without_quorum(now) {
             return;
         }
@@ -136,7 +85,7 @@
         self.send(member, message);
     }
 
-    /// What a follower must have applied to answer reads, for a short while.
+    /// What a follower must have applied to answer reads; none where this leader is not confirmed.
     fn read_index(&self, now: Millis) -> Option<u64> {
         self.has_quorum_contact(READ_LEASE, now)
             .then_some(self.commit)
@@ -216,15 +165,15 @@
         self.send(member, message);
     }
 
-    /// Sends a snapshot in place of entries that are on disk no longer. It is
-    /// not sent again before long: it may be large.
+    /// Sends a snapshot in place of entries that are on disk no longer.
     pub fn send_snapshot(&mut self, member: MemberId, snapshot: Snapshot, now: Millis) {
         let term = self.term();
         if !self.is_leader() {
             return;
         }
-        let again = now + SNAPSHOT_PAUSE;
-        self.await_reply(member, snapshot.index, again);
+        // As if sent later, so that it is sent again later.
+        let sent_at = now + SNAPSHOT_EXTRA_PAUSE;
+        self.await_reply(member, snapshot.index, sent_at);
         let message = Message::Install {
             term,
             snapshot,
@@ -245,7 +194,7 @@
             read_index,
             sent_at: _,
         } = appended;
-        self.currency.told(read_index, now);
+        self.currency.leader_heard(read_index, now);
         let matched = match self.log.term_at(previous_index) {
             Some(known) => known == previous_term,
             // What lies before the compacted prefix is committed, so it matches.
@@ -264,6 +213,7 @@
         self.reply(from, true, last, sent_at);
     }
 
+    /// Appends an entry of the leader, in place of others at its index.
     fn take_entry(&mut self, entry: Entry) {
         if entry.index <= self.log.base_index() {
             return;
@@ -350,7 +300,7 @@
         if matched {
             peer.matched = peer.matched.max(index);
             peer.next = peer.next.max(peer.matched + 1);
-            // A heartbeat's reply tells less than the append under way.
+            // A reply to a heartbeat does not answer the append under way.
             if peer.awaiting.is_none_or(|sent| index >= sent.last_index) {
                 peer.awaiting = None;
                 peer.next = peer.matched + 1;
--- a/crates/consensus/tests/currency.rs
+++ b/crates/consensus/tests/currency.rs
@@ -39,7 +39,7 @@
 }
 
 /// A follower that has heard from its leader for a while.
-fn settled() -> Consensus {
+fn hearing_its_leader() -> Consensus {
     let mut follower = follower();
     take(&mut follower, append(0, vec![entry(1)], Some(1)), 1_000);
     take(&mut follower, append(1, vec![], Some(1)), 1_150);
@@ -49,14 +49,14 @@
 
 #[rstest]
 fn a_follower_that_hears_its_leader_is_current_for_a_while() {
-    let follower = settled();
+    let follower = hearing_its_leader();
     assert!(follower.is_current(WINDOW, 1_300 + WINDOW));
     assert!(!follower.is_current(WINDOW, 1_301 + WINDOW));
 }
 
 #[rstest]
-fn a_follower_that_lacks_entries_is_as_old_as_the_first_it_lacks() {
-    let mut follower = settled();
+fn a_follower_that_lacks_entries_is_current_as_of_the_first_it_lacks() {
+    let mut follower = hearing_its_leader();
     take(&mut follower, append(1, vec![], Some(3)), 1_400);
     take(&mut follower, append(1, vec![], Some(3)), 1_550);
     take(&mut follower, append(1, vec![], Some(4)), 1_700);
@@ -71,18 +71,18 @@
 }
 
 #[rstest]
-fn a_leader_that_is_not_sure_to_lead_keeps_no_follower_current() {
-    let mut follower = settled();
+fn an_unconfirmed_leader_keeps_no_follower_current() {
+    let mut follower = hearing_its_leader();
     for now in [1_450, 1_600, 1_750] {
         take(&mut follower, append(1, vec![], None), now);
     }
     assert!(!follower.is_current(WINDOW, 1_750));
 }
 
-/// What waited in a socket while the process stood still is old.
+/// Messages that waited in a socket while the process was suspended are old.
 #[rstest]
-fn what_arrives_after_a_standstill_counts_a_little_later() {
-    let mut follower = settled();
+fn messages_after_a_suspension_do_not_count_at_first() {
+    let mut follower = hearing_its_leader();
     take(&mut follower, append(1, vec![], Some(1)), 4_000);
     assert!(!follower.is_current(WINDOW, 4_001));
     take(&mut follower, append(1, vec![], Some(1)), 4_150);
--- a/crates/consensus/tests/early_election.rs
+++ b/crates/consensus/tests/early_election.rs
@@ -130,7 +130,7 @@
 }
 
 #[rstest]
-fn a_member_that_starts_anew_disturbs_no_living_leader() {
+fn a_restarted_member_does_not_disturb_a_live_leader() {
     for seed in 0..50 {
         let mut group = Group::start(seed);
         group.run(2 * ELECTION);
--- a/crates/durable/src/record_log.rs
+++ b/crates/durable/src/record_log.rs
@@ -1,10 +1,10 @@
-//! The log of a member of the replicated log: one file of checked records.
+//! The log of a member of the replicated log: one file of records with checksums.
 //!
-//! A record is a length (4 bytes), a checksum (8 bytes, XXH3) and MessagePack.
-//! Records after the last sync may be missing or torn when power is lost, so
-//! reading stops at the first that does not check, and the file is cut there.
-//! Rewriting goes through a second file that is synced, renamed, and whose
-//! folder is synced before anything is appended to it.
+//! A record is the length of its body (4 bytes, big endian), the body's checksum (8 bytes, big
+//! endian, XXH3) and the body, MessagePack. Records after the last sync may be missing or torn
+//! when power is lost, so reading stops at the first whose length or checksum is wrong, and the
+//! file is cut there. Rewriting goes through a second file that is synced and renamed, and the
+//! folder is synced before anything is appended.
 
 use brasspond_consensus::{Entry, HardState, MemberId, Persisted, Ready, Snapshot};
 use displaydoc::Display;
@@ -15,10 +15,14 @@
 use std::path::{Path, PathBuf};
 use xxhash_rust::xxh3::xxh3_64;
 
+/// The log.
 const FILE_NAME: &str = "log";
+/// The log that is about to replace it.
 const NEW_FILE_NAME: &str = "log.new";
+/// Bytes of a record before its body: length and checksum.
 const HEAD_BYTES: usize = 12;
-/// Longest record, in bytes; longer lengths are damage.
+/// Longest body of a record, in bytes; longer lengths are damage. Twice the longest message
+/// between processes, so that any snapshot fits. Not measured.
 const LONGEST_RECORD: u32 = 512 * 1024 * 1024;
 
 /// Why the log cannot be kept.
@@ -38,12 +42,18 @@
     }
 }
 
+/// The body of a record. Variants are written by name.
 #[derive(Serialize, Deserialize)]
 enum Record {
+    /// Who the member is; the first of a file.
     Identity(MemberId),
+    /// Term and vote, in place of earlier ones.
     HardState(HardState),
+    /// Replaces all before it but identity, term and vote.
     Snapshot(Snapshot),
+    /// Entries from this index on are void.
     Truncate(u64),
+    /// The next entry.
     Entry(Entry),
 }
 
@@ -52,19 +62,21 @@
     folder: PathBuf,
     file: File,
     id: MemberId,
+    /// Bytes of the file that are valid records.
     bytes: u64,
-    places: Places,
+    offsets: Offsets,
 }
 
-/// Where each entry begins in the file.
+/// Where the record of each entry begins in the file.
 #[derive(Clone, Debug, Default)]
-struct Places {
+struct Offsets {
     /// Index of the first entry in the file.
     first: u64,
+    /// In bytes, of each entry from `first` on.
     offsets: Vec<u64>,
 }
 
-impl Places {
+impl Offsets {
     fn after(index: u64) -> Self {
         Self {
             first: index + 1,
@@ -81,12 +93,16 @@
 
     fn truncate(&mut self, from: u64) {
         let kept = from.saturating_sub(self.first);
-        self.offsets.truncate(usize::try_from(kept).unwrap_or(0));
+        // More than this machine can address are never there: all are kept.
+        self.offsets
+            .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
     }
 
     fn find(&self, index: u64) -> Option<u64> {
         let number = index.checked_sub(self.first)?;
-        self.offsets.get(usize::try_from(number).ok()?).copied()
+        // A number that this machine cannot address lies behind all entries.
+        let number = usize::try_from(number).ok()?;
+        self.offsets.get(number).copied()
     }
 }
 
@@ -96,19 +112,20 @@
     pub log: RecordLog,
     /// Identity of the member: drawn now if the folder was empty.
     pub id: MemberId,
-    /// What the member must remember.
+    /// What the member kept.
     pub kept: Persisted,
 }
 
 impl RecordLog {
-    /// Opens the log in `folder`, or begins one with the identity `new_id`.
+    /// Opens the log in `folder`, or begins one with the identity `new_id`. Torn records at its end
+    /// are cut off.
     ///
     /// # Errors
     /// The disk fails.
     pub fn open(folder: &Path, new_id: MemberId) -> Result<Opened, RecordLogError> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join(FILE_NAME);
-        let _ = std::fs::remove_file(folder.join(NEW_FILE_NAME));
+        remove_unfinished(&folder.join(NEW_FILE_NAME));
         let file = OpenOptions::new()
             .read(true)
             .append(true)
@@ -125,7 +142,7 @@
             file,
             id,
             bytes: read.valid,
-            places: read.places,
+            offsets: read.offsets,
         };
         if read.id.is_none() {
             log.append(&[Record::Identity(id)])?;
@@ -176,7 +193,7 @@
 
     /// The entry of an index and the bytes of its record.
     fn entry_at(&self, index: u64) -> Result<Option<(Entry, u64)>, RecordLogError> {
-        let Some(offset) = self.places.find(index) else {
+        let Some(offset) = self.offsets.find(index) else {
             return Ok(None);
         };
         let mut head = [0; HEAD_BYTES];
@@ -193,7 +210,7 @@
         }
     }
 
-    /// Writes and syncs what a member wants kept. A snapshot rewrites the file.
+    /// Writes and syncs what a member must keep. A snapshot rewrites the file.
     ///
     /// # Errors
     /// The disk fails: nothing of it may be acknowledged.
@@ -214,10 +231,10 @@
         Ok(())
     }
 
-    /// Begins the file anew with a snapshot and the entries after it.
+    /// Replaces the file by one with a snapshot and the entries after it.
     ///
     /// # Errors
-    /// The disk fails; the file before stays.
+    /// The disk fails; the old file stays.
     pub fn rewrite(
         &mut self,
         hard_state: HardState,
@@ -231,12 +248,12 @@
             .create(true)
             .open(&path)?;
         file.set_len(0)?;
-        let mut fresh = Self {
+        let mut new = Self {
             folder: self.folder.clone(),
             file,
             id: self.id,
             bytes: 0,
-            places: Places::after(snapshot.index),
+            offsets: Offsets::after(snapshot.index),
         };
         let mut records = vec![
             Record::Identity(self.id),
@@ -244,14 +261,15 @@
             Record::Snapshot(snapshot),
         ];
         records.extend(entries.iter().cloned().map(Record::Entry));
-        fresh.append(&records)?;
-        fresh.file.sync_all()?;
+        new.append(&records)?;
+        new.file.sync_all()?;
         std::fs::rename(&path, self.folder.join(FILE_NAME))?;
         sync_folder(&self.folder)?;
-        *self = fresh;
+        *self = new;
         Ok(())
     }
 
+    /// Appends records without a sync.
     fn append(&mut self, records: &[Record]) -> Result<(), RecordLogError> {
         let mut buffer = Vec::new();
         for record in records {
@@ -260,8 +278,8 @@
             rmp_serde::encode::write(&mut buffer, record).map_err(RecordLogError::Encode)?;
             let body = &buffer[start + HEAD_BYTES..];
             match record {
-                Record::Entry(entry) => self.places.push(entry.index, self.bytes + start as u64),
-                Record::Truncate(first) => self.places.truncate(*first),
+                Record::Entry(entry) => self.offsets.push(entry.index, self.bytes + start as u64),
+                Record::Truncate(first) => self.offsets.truncate(*first),
                 _ => {}
             }
             let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
@@ -275,11 +293,13 @@
     }
 }
 
+/// What the valid records of a file hold.
 #[derive(Default)]
 struct ReadRecords {
     id: Option<MemberId>,
     kept: Persisted,
-    places: Places,
+    offsets: Offsets,
+    /// Their bytes.
     valid: u64,
 }
 
@@ -293,16 +313,16 @@
             Record::Identity(id) => read.id = Some(id),
             Record::HardState(state) => read.kept.hard_state = state,
             Record::Snapshot(snapshot) => {
-                read.places = Places::after(snapshot.index);
+                read.offsets = Offsets::after(snapshot.index);
                 read.kept.snapshot = Some(snapshot);
                 read.kept.entries.clear();
             }
             Record::Truncate(first) => {
-                read.places.truncate(first);
+                read.offsets.truncate(first);
                 read.kept.entries.retain(|entry| entry.index < first);
             }
             Record::Entry(entry) => {
-                read.places.push(entry.index, read.valid);
+                read.offsets.push(entry.index, read.valid);
                 read.kept.entries.push(entry);
             }
         }
@@ -311,6 +331,8 @@
     read
 }
 
+/// The next record; none: the file ends, or the record is torn or damaged. Either way the log ends
+/// there, since no more was acknowledged.
 fn next_record(reader: &mut impl Read, body: &mut Vec<u8>) -> Option<Record> {
     let mut head = [0; HEAD_BYTES];
     reader.read_exact(&mut head).ok()?;
@@ -327,6 +349,13 @@
     rmp_serde::from_slice(body).ok()
 }
 
+/// Removes a file that a rewrite did not finish. That there is none is usual, and one that cannot
+/// be removed does no harm: the next rewrite empties it first.
+fn remove_unfinished(path: &Path) {
+    drop(std::fs::remove_file(path));
+}
+
+/// Makes names in a folder durable.
 fn sync_folder(folder: &Path) -> std::io::Result<()> {
     File::open(folder)?.sync_all()
 }
--- a/crates/durable/src/text_files.rs
+++ b/crates/durable/src/text_files.rs
@@ -1,7 +1,7 @@
-//! Texts of ended jobs, a file a job, out of the memory of a process.
+//! Texts of ended jobs, one file for each job, out of the memory of a process.
 //!
-//! The log alone keeps texts for good: these files are begun anew at each start and
-//! never synced. A text that cannot be read stays known to the other members.
+//! The log alone keeps texts for good: these files are removed at each start and never synced. A
+//! text that cannot be read here is read at another member.
 
 use bytes::Bytes;
 use std::fs::{self, File};
@@ -15,11 +15,12 @@
 #[derive(Debug)]
 pub struct TextFiles {
     folder: PathBuf,
-    next: u64,
+    /// Number of the newest file.
+    newest: u64,
 }
 
 impl TextFiles {
-    /// Empty files in a data folder.
+    /// Without files, in a folder of their own below `data_folder`.
     ///
     /// # Errors
     /// The folder cannot be made or emptied.
@@ -29,16 +30,16 @@
             fs::remove_dir_all(&folder)?;
         }
         fs::create_dir_all(&folder)?;
-        Ok(Self { folder, next: 0 })
+        Ok(Self { folder, newest: 0 })
     }
 
-    /// Writes texts one after another into a new file; returns its number.
+    /// Writes texts one after another into a new file; returns its number, from 1.
     ///
     /// # Errors
     /// The disk failed or is full.
     pub fn write<'a>(&mut self, texts: impl Iterator<Item = &'a Bytes>) -> io::Result<u64> {
-        self.next += 1;
-        let number = self.next;
+        self.newest += 1;
+        let number = self.newest;
         let content: Vec<u8> = texts.flat_map(|text| text.iter().copied()).collect();
         let mut file = File::create(self.path(number))?;
         file.write_all(&content)?;
--- a/crates/durable/tests/record_log.rs
+++ b/crates/durable/tests/record_log.rs
@@ -52,7 +52,7 @@
 }
 
 #[rstest]
-fn a_snapshot_takes_the_place_of_entries() {
+fn a_snapshot_replaces_the_entries_before_it() {
     let folder = tempfile::tempdir().expect("folder");
     let state = HardState::default();
     let mut log = RecordLog::open(folder.path(), 7).expect("opens").log;
--- a/crates/durable/tests/text_files.rs
+++ b/crates/durable/tests/text_files.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn texts_are_read_by_their_places_until_they_are_removed() {
+fn texts_are_read_by_their_offsets_until_they_are_removed() {
     let folder = tempfile::tempdir().expect("folder");
     let mut files = TextFiles::open(folder.path()).expect("opens");
     let texts = [Bytes::from_static(b"one"), Bytes::from_static(b"three")];
@@ -21,7 +21,7 @@
 
 /// Nothing in these files is needed after a start: the log has all texts.
 #[rstest]
-fn a_start_begins_with_no_files() {
+fn files_of_an_earlier_start_are_removed() {
     let folder = tempfile::tempdir().expect("folder");
     let mut files = TextFiles::open(folder.path()).expect("opens");
     let text = [Bytes::from_static(b"text")];
