--- a/crates/cluster/tests/search.rs
+++ b/crates/cluster/tests/search.rs
@@ -3,13 +3,13 @@
 use brasspond_cluster::storage::search::{RecordSearch, SIGN_PAUSE, making_pause};
 use rstest::rstest;
 
-/// Pause between two looks of a process, in ms.
-const LOOK: u64 = 100;
+/// Pause between two ticks of a process, in ms.
+const TICK: u64 = 100;
 
-/// Reads of each look from `from` to `to`, in ms.
+/// Reads of each tick from `from` to `to`, in ms.
 fn reads(searches: &mut [RecordSearch], from: u64, to: u64, is_led: bool) -> Vec<usize> {
     let mut reads = Vec::new();
-    for now in (from..to).step_by(LOOK as usize) {
+    for now in (from..to).step_by(TICK as usize) {
         if is_led && now % SIGN_PAUSE == 0 {
             searches.iter_mut().for_each(|search| search.led(now));
         }
@@ -26,8 +26,8 @@
     processes.collect()
 }
 
-/// Found on adrese-riga-large: 45 processes read the record every 400 ms, for as long
-/// as the system ran, 2,017 of its 2,630 calls of the first seconds.
+/// 45 processes once read the record every 400 ms for as long as the system ran: 2,017 of its
+/// first 2,630 calls to the store.
 #[rstest]
 #[case::small(3)]
 #[case::today(45)]
@@ -41,13 +41,13 @@
 }
 
 #[rstest]
-fn processes_that_miss_their_leader_read_soon_and_not_all_at_once() {
+fn processes_without_a_leader_read_soon_and_not_all_at_once() {
     let mut searches = fleet(45, false);
     reads(&mut searches, 0, 10_000, true);
     let silent = reads(&mut searches, 10_000, 70_000, false);
     let first = silent.iter().position(|reads| *reads > 0);
     assert!(
-        first.is_some_and(|look| look <= 40),
+        first.is_some_and(|tick| tick <= 40),
         "within 4 s: {first:?}"
     );
     assert!(silent.iter().all(|reads| *reads <= 6), "{silent:?}");
@@ -83,7 +83,7 @@
 }
 
 #[rstest]
-fn a_slow_store_does_not_put_the_first_start_off() {
+fn a_slow_store_does_not_delay_the_first_start() {
     assert_eq!(making_pause(0), 0);
     assert_eq!(making_pause(5_000), 1_400);
 }
