--- a/crates/jobs/src/away.rs
+++ b/crates/jobs/src/away.rs
@@ -6,7 +6,8 @@
 //! keeps where they are. The log knows nothing of this.
 
 use crate::command::Outcome;
-use crate::table::{Job, JobTable, Page};
+use crate::job::{Job, Page};
+use crate::table::JobTable;
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -9,6 +9,7 @@
 mod away;
 mod command;
 mod groups;
+mod job;
 mod table;
 
 pub use away::{Away, Place};
@@ -17,4 +18,5 @@
     Submission,
 };
 pub use groups::{Groups, StepState};
-pub use table::{Accepted, BodyError, Job, JobTable, Page, Positioned};
+pub use job::{Job, Page, Positioned};
+pub use table::{Accepted, BodyError, JobTable};
