--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -5,7 +5,7 @@
 use crate::action::Action;
 use crate::dispatcher::Dispatcher;
 use crate::earlier_texts::draft_of;
-use crate::jobs::State;
+use crate::job_run::State;
 use crate::retry::{self, NextStep};
 use crate::runs::Run;
 use brasspond_cluster_protocol::{AttemptId, RunEnd, StreamEvent};
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -30,6 +30,7 @@
 mod ending;
 mod event;
 mod job_route;
+mod job_run;
 mod jobs;
 mod leases;
 mod load_cost;
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -10,7 +10,7 @@
 use crate::action::Action;
 use crate::dispatcher::Dispatcher;
 use crate::earlier_texts::draft_of;
-use crate::jobs::State;
+use crate::job_run::State;
 use crate::runs::Run;
 use crate::withheld::QUARANTINE_RECHECK_PAUSE;
 use brasspond_cluster_protocol::{AttemptId, RunReport, ScoringEnd, ScoringSpec};
--- a/crates/dispatch/src/starting.rs
+++ b/crates/dispatch/src/starting.rs
@@ -4,7 +4,7 @@
 
 use crate::action::Action;
 use crate::dispatcher::Dispatcher;
-use crate::jobs::State;
+use crate::job_run::State;
 use crate::placement::Availability;
 use crate::replicas::Need;
 use crate::runs::Run;
--- a/crates/dispatch/src/takeover.rs
+++ b/crates/dispatch/src/takeover.rs
@@ -6,7 +6,7 @@
 use crate::action::Action;
 use crate::dispatcher::Dispatcher;
 use crate::edges::Edge;
-use crate::jobs::State;
+use crate::job_run::State;
 use crate::runs::Run;
 use brasspond_cluster_protocol::{AttemptId, RunEnd, RunReport, ScoringEnd, StreamEvent};
 use brasspond_units::Millis;
--- a/crates/dispatch/src/withheld.rs
+++ b/crates/dispatch/src/withheld.rs
@@ -7,7 +7,7 @@
 //! cleared or its time in the queue is over.
 
 use crate::dispatcher::Dispatcher;
-use crate::jobs::State;
+use crate::job_run::State;
 use brasspond_jobs::JobTable;
 use brasspond_quarantine::{Case, Fingerprint, Ledger, QUARANTINED_AFTER};
 use brasspond_units::Millis;
--- a/crates/dispatch/tests/fuzzing.rs
+++ b/crates/dispatch/tests/fuzzing.rs
@@ -218,7 +218,7 @@
 #[case::a_score_redrawn(Mutation::ScoreRedrawn)]
 #[case::a_draft_lost(Mutation::DraftLost)]
 #[case::a_piece_misplaced(Mutation::PieceMisplaced)]
-#[case::an_evacuation_untold(Mutation::EvacuationUntold)]
+#[case::an_evacuation_untold(Mutation::EvacuationNotSent)]
 #[case::an_evacuation_believed(Mutation::EvacuationBelieved)]
 #[case::a_region_mistold(Mutation::RegionMisreported)]
 fn a_built_in_fault_is_caught(#[case] mutation: Mutation) {
--- a/crates/dispatch/tests/model/carry.rs
+++ b/crates/dispatch/tests/model/carry.rs
@@ -137,7 +137,7 @@
     /// A replica whose entry has its present life, which is known to be the newest.
     fn known_newest(&self, id: &str) -> Option<&Replica> {
         let mut replicas = self.replicas.iter();
-        replicas.find(|one| one.id == id && one.is_life_told && one.is_ordered)
+        replicas.find(|one| one.id == id && one.is_life_known && one.is_ordered)
     }
 
     /// No run goes to a replica for a version that it lost with its start, once its entry
--- a/crates/dispatch/tests/model/fault.rs
+++ b/crates/dispatch/tests/model/fault.rs
@@ -103,7 +103,7 @@
     /// Texts that wait for their scores are lost with the leader.
     DraftLost,
     /// The leader never learns that a zone is evacuated.
-    EvacuationUntold,
+    EvacuationNotSent,
     /// A new leader begins with what was known before it led.
     EvacuationBelieved,
     /// Parts of a text are kept at another place than they belong.
@@ -351,7 +351,7 @@
             (replica.born + 1).max(FIRST_BORN + now)
         };
         replica.start_again(born, keeps);
-        replica.told_from = now + entry_ms;
+        replica.entry_from = now + entry_ms;
         // Which of two lives is the newer can't be known for a while, or ever.
         replica.is_ordered = replica.reports_life && !back;
         self.view_changed();
--- a/crates/dispatch/tests/model/mod.rs
+++ b/crates/dispatch/tests/model/mod.rs
@@ -5,17 +5,19 @@
 mod carry;
 mod edge;
 mod fault;
+mod finish;
 mod messages;
 mod oracle;
 mod replica;
 mod streams;
 mod time;
+mod view;
 
 pub use fault::{Fault, Mutation};
 
 use crate::support;
 use brasspond_dispatch::{Dispatcher, Event, OrderLeases, Settings};
-use brasspond_fleet::{FleetView, Regions, WarmUp};
+use brasspond_fleet::{FleetView, WarmUp};
 use brasspond_golden::Digest;
 use brasspond_jobs::{Command, JobTable, ScoringCall, Submission};
 use edge::Edge;
@@ -269,179 +271,6 @@
         });
     }
 
-    fn view_changed(&mut self) {
-        self.view_at.get_or_insert(self.now + VIEW_LAG);
-    }
-
-    /// The view as the platform has it now.
-    fn renew_view(&mut self) {
-        let replicas = self.replicas.iter().map(|replica| {
-            let mut info = support::replica(replica.number, SLOTS as u32);
-            info.id.clone_from(&replica.id);
-            info.draining = replica.draining;
-            info.zone = zone_of(replica.number).to_string();
-            info.region = Some(region_of(replica.number, REPLICAS).into());
-            info.models[0].version = replica.version;
-            info.warming_ms = replica.warming_until.saturating_sub(self.now);
-            info.life = self.life_of(replica);
-            info.revision = replica.lives;
-            let before = self.view.replicas.get(&info.id);
-            let before = before.filter(|_| self.now < replica.told_from);
-            let info = before.cloned().unwrap_or(info);
-            (info.id.clone(), info)
-        });
-        self.view.replicas = Arc::new(replicas.collect());
-        for replica in &mut self.replicas {
-            // Requests sent before the view had it arrive within the longest lag.
-            let known_at = self.now + LONGEST_LAG + 2 * STEP_MS;
-            let is_entry_told = self.now >= replica.told_from;
-            replica.is_life_told |= is_entry_told;
-            if replica.is_warming(self.now) && replica.bounded_from == u64::MAX && is_entry_told {
-                replica.bounded_from = known_at;
-            }
-        }
-        let untold = self.replicas.iter().map(|one| one.told_from);
-        let untold = untold.filter(|at| *at > self.now).min();
-        if let Some(at) = untold {
-            self.view_at = Some(self.view_at.map_or(at, |known| known.min(at)));
-        }
-        self.view.replicas_revision += 1;
-        let versions = BTreeMap::from([("model".to_string(), self.version)]);
-        self.view.versions = Arc::new(versions);
-        self.view.versions_revision += 1;
-        if self.mutation != Some(Mutation::EvacuationUntold) {
-            self.view.evacuated = Arc::new(self.evacuated.clone());
-        }
-        self.view.evacuated_revision += 1;
-        self.known_evacuated = self.evacuated.clone();
-        self.leader_knows = self.dispatcher.is_some();
-        self.renew_regions();
-    }
-
-    /// Nothing goes to a replica whose zone the leader knows as evacuated, nor anywhere
-    /// before it knows.
-    fn check_evacuated(&self, replica: &str) {
-        if !self.view.needs_evacuated {
-            return;
-        }
-        assert!(
-            self.leader_knows,
-            "{replica} is sent work by a leader that knows nothing"
-        );
-        let there = self.replicas.iter().find(|one| one.id == replica);
-        let zone = there.map(|one| zone_of(one.number));
-        let is_out = zone.is_some_and(|zone| self.known_evacuated.contains(&zone));
-        assert!(
-            !is_out,
-            "{replica} is sent work though its zone is evacuated"
-        );
-    }
-
-    fn renew_regions(&mut self) {
-        let regions = if self.is_bound {
-            Regions::only([INSIDE])
-        } else {
-            Regions::Any
-        };
-        let configuration = Arc::make_mut(self.view.configuration.as_mut().expect("one"));
-        if configuration.routes[0].regions != regions {
-            configuration.routes[0].regions = regions;
-            self.view.configuration_revision += 1;
-        }
-    }
-
-    /// A job's body goes to this edge, by order of a leader that knows this view.
-    fn check_edge(&self, machine: &str, job: &str) {
-        let number = self.edges.iter().position(|edge| edge.machine == machine);
-        let region = number.map(|number| region_of(number, EDGES));
-        assert!(
-            self.regions().allows(region),
-            "a body of {job} goes to {machine} outside its regions"
-        );
-    }
-
-    /// A job's item goes to this replica, by order of a leader that knows this view.
-    fn check_replica(&self, replica: &str, job: &str) {
-        let known = self.replicas.iter().find(|known| known.id == replica);
-        let region = known.map(|known| region_of(known.number, REPLICAS));
-        let is_gone = known.is_none();
-        assert!(
-            is_gone || self.regions().allows(region),
-            "an item of {job} goes to {replica} outside its regions"
-        );
-    }
-
-    fn regions(&self) -> &Regions {
-        let configuration = self.view.configuration.as_ref().expect("one");
-        &configuration.routes[0].regions
-    }
-
-    /// All faults end; then every open job must finish, no run be left over, and every place be
-    /// free.
-    pub fn finish(&mut self) {
-        self.heal();
-        let until = self.now + FINISH_MS;
-        while self.now < until && !self.is_finished() {
-            self.run(500);
-        }
-        assert!(self.is_finished(), "jobs are left: {}", self.unfinished());
-        // Orders that were not answered may still be applied.
-        self.run(LATEST_ORDER);
-        let counts = self.dispatcher.as_ref().expect("a leader").counts();
-        assert_eq!(counts, (0, 0), "runs are left over");
-        self.check_places();
-        self.oracle.check_table(&self.table, &self.submitted);
-    }
-
-    /// A job as large as all replicas fills all of them, once none loads.
-    fn check_places(&mut self) {
-        let until = self.now + FINISH_MS;
-        while self.now < until && self.orders_under_way() > 0 {
-            self.run(500);
-        }
-        assert_eq!(self.orders_under_way(), 0, "loads never end");
-        let places = REPLICAS * SLOTS;
-        self.submit_items(places, 1, Vec::new());
-        let submission = self.submitted.last().expect("one").clone();
-        for item in &submission.items {
-            let plan = ItemPlan {
-                length: 200,
-                failures: 0,
-                impossible: false,
-                score_fails: false,
-            };
-            self.oracle.plans.insert(item.id.clone(), plan);
-        }
-        self.run(1_500);
-        let load = self.dispatcher.as_ref().expect("a leader").load();
-        // A lease may have delayed a load until now.
-        let free = places - SLOTS * load.orders;
-        let counts = (load.running, load.waiting);
-        assert_eq!(counts, (free, places - free), "places are lost: {load:?}");
-    }
-
-    fn orders_under_way(&self) -> usize {
-        let dispatcher = self.dispatcher.as_ref().expect("a leader");
-        dispatcher.load().orders
-    }
-
-    fn is_finished(&self) -> bool {
-        self.dispatcher.is_some()
-            && self.submitted.iter().all(|one| {
-                let job = self.table.job(&one.id);
-                job.is_some_and(brasspond_jobs::Job::is_finished)
-            })
-    }
-
-    fn unfinished(&self) -> String {
-        let jobs = self.submitted.iter().filter_map(|one| {
-            let job = self.table.job(&one.id)?;
-            let left = job.items.len() - job.results.len();
-            (!job.is_finished()).then(|| format!("{}: {left}", one.id))
-        });
-        jobs.collect::<Vec<_>>().join(", ")
-    }
-
     /// Begins a leader; the first respects nothing, later ones all leases.
     fn elect(&mut self) {
         let others = self
--- a/crates/dispatch/tests/model/replica.rs
+++ b/crates/dispatch/tests/model/replica.rs
@@ -57,9 +57,9 @@
     /// Whether it reports its lives at all.
     pub reports_life: bool,
     /// Until when its entry is the one of the life before.
-    pub told_from: u64,
+    pub entry_from: u64,
     /// Its entry has its present life, which can be known to be the newest.
-    pub is_life_told: bool,
+    pub is_life_known: bool,
     /// Its present life is reported, and higher than those before.
     pub is_ordered: bool,
     /// It has loaded an older version than it had: an order was applied late.
@@ -89,8 +89,8 @@
             first_born: FIRST_BORN,
             lives: 1,
             reports_life: true,
-            told_from: 0,
-            is_life_told: false,
+            entry_from: 0,
+            is_life_known: false,
             is_ordered: true,
             went_back: false,
             checks_count: true,
@@ -113,7 +113,7 @@
         self.sequence = 0;
         self.loading = None;
         self.dark_until = 0;
-        self.is_life_told = false;
+        self.is_life_known = false;
         self.went_back = false;
         if !keeps {
             self.version = 1;
--- a/crates/dispatch/tests/unit/takeover.rs
+++ b/crates/dispatch/tests/unit/takeover.rs
@@ -1,7 +1,7 @@
 //! What is done with a run that an edge has: [`adoption`].
 
 use super::{Adoption, adoption};
-use crate::jobs::State;
+use crate::job_run::State;
 use brasspond_cluster_protocol::AttemptId;
 use rstest::rstest;
 
--- a/crates/dispatch/tests/warming.rs
+++ b/crates/dispatch/tests/warming.rs
@@ -4,50 +4,16 @@
 mod support;
 
 use brasspond_cluster_protocol::{Pace, RunEnd, RunSpec};
-use brasspond_dispatch::{Action, Event, OrderLeases, PermitAsk};
-use brasspond_fleet::{FleetView, Regions, ReplicaInfo, WarmUp};
+use brasspond_dispatch::{Action, Event, OrderLeases};
+use brasspond_fleet::{ReplicaInfo, WarmUp};
 use brasspond_warmup::{LEADERS_OVERLAP, PERMIT_MS};
+use fixture::warming::{
+    AHEAD, KNOWN_EVERYWHERE, PER_SECOND, SLOTS, SPAN, bounded, leader, warming,
+};
 use fixture::{Fixture, event, runs};
 use rstest::rstest;
 use std::sync::Arc;
-use support::{replica, submission, view};
-
-const PER_SECOND: usize = 12;
-const SLOTS: u32 = 100;
-/// How far an edge's clock is ahead of the leader's, in ms.
-const AHEAD: u64 = 40_000;
-/// Time for which a budget applies after the replica is warm, in ms.
-const KNOWN_EVERYWHERE: u64 = 500;
-/// A span of a budget: a second, and the time in which a granted request may be sent.
-const SPAN: u64 = 1_000 + PERMIT_MS;
-
-fn bounded(replicas: usize) -> FleetView {
-    let mut view = view(replicas, SLOTS);
-    let configuration = Arc::make_mut(view.configuration.as_mut().expect("one"));
-    configuration.services[0].warm_up = Some(WarmUp {
-        time_ms: 3_000,
-        per_second: PER_SECOND as f64,
-    });
-    view
-}
-
-fn warming(number: usize, ms: u64) -> ReplicaInfo {
-    ReplicaInfo {
-        warming_ms: ms,
-        ..replica(number, SLOTS)
-    }
-}
-
-/// A leader of long ago, with an edge whose clock is known, and no replica.
-fn leader() -> Fixture {
-    let mut fixture = Fixture::new(bounded(0), OrderLeases::default());
-    fixture.edge("edge");
-    fixture.report_clock("edge", AHEAD);
-    fixture.advance(5_000);
-    fixture.handle(Event::Tick);
-    fixture.report_clock("edge", AHEAD);
-    fixture
-}
+use support::{replica, submission};
 
 /// Lets time pass; returns what was run, and when.
 fn pass(fixture: &mut Fixture, ms: u64) -> Vec<(u64, RunSpec)> {
@@ -224,89 +190,6 @@
     assert_eq!(pass(&mut fixture, 300).len(), 1);
 }
 
-#[rstest]
-fn items_and_requests_of_edges_share_a_budget() {
-    let mut fixture = leader();
-    fixture.set_replica(warming(0, 5_000));
-    fixture.accept(submission("job", &[10; 5], 1));
-    let now = fixture.now();
-    let ask = PermitAsk {
-        service: "engines",
-        regions: &Regions::Any,
-        tried: &[],
-        asked_at: 77_000,
-    };
-    let mut granted = 0;
-    while let Some(permit) = fixture.dispatcher().grant(&ask, now) {
-        assert_eq!(&*permit.replica, "replica-0");
-        assert_eq!(permit.send_by, 77_000 + PERMIT_MS);
-        granted += 1;
-    }
-    assert_eq!(granted, PER_SECOND - 5);
-    assert!(fixture.dispatcher().grant(&ask, now + SPAN - 1).is_none());
-    assert!(fixture.dispatcher().grant(&ask, now + SPAN).is_some());
-    let (replicas, counts) = fixture.dispatcher().warming();
-    assert_eq!((replicas, counts.items, counts.requests), (1, 5, 8));
-}
-
-#[rstest]
-#[case("other", Regions::Any)]
-#[case("engines", Regions::only(["south"]))]
-fn nothing_is_granted_where_the_request_may_not_go(
-    #[case] service: &str,
-    #[case] regions: Regions,
-) {
-    let mut fixture = leader();
-    fixture.set_replica(warming(0, 5_000));
-    let now = fixture.now();
-    let ask = PermitAsk {
-        service,
-        regions: &regions,
-        tried: &[],
-        asked_at: 0,
-    };
-    assert_eq!(fixture.dispatcher().grant(&ask, now), None);
-}
-
-/// An edge that has just started knows the replica as one that warms up.
-#[rstest]
-fn a_warm_replica_is_granted_without_a_budget() {
-    let mut fixture = leader();
-    fixture.set_replica(warming(0, 1_000));
-    fixture.advance(1_000 + KNOWN_EVERYWHERE);
-    let now = fixture.now();
-    let ask = PermitAsk {
-        service: "engines",
-        regions: &Regions::Any,
-        tried: &[],
-        asked_at: 0,
-    };
-    for _ in 0..5 * PER_SECOND {
-        assert!(fixture.dispatcher().grant(&ask, now).is_some());
-    }
-}
-
-#[rstest]
-fn a_replica_that_was_tried_is_granted_last() {
-    let mut fixture = leader();
-    fixture.set_replica(warming(0, 5_000));
-    fixture.set_replica(warming(1, 5_000));
-    let now = fixture.now();
-    let tried = ["replica-0".to_string()];
-    let ask = PermitAsk {
-        service: "engines",
-        regions: &Regions::Any,
-        tried: &tried,
-        asked_at: 0,
-    };
-    for _ in 0..PER_SECOND {
-        let permit = fixture.dispatcher().grant(&ask, now).expect("granted");
-        assert_eq!(&*permit.replica, "replica-1");
-    }
-    let permit = fixture.dispatcher().grant(&ask, now).expect("granted");
-    assert_eq!(&*permit.replica, "replica-0");
-}
-
 #[rstest]
 fn the_next_opening_is_known_while_items_wait() {
     let mut fixture = leader();
@@ -375,43 +258,6 @@
     assert_eq!(is_shared, is_given);
 }
 
-/// It does not know which services have a bound: an edge that does is granted nothing.
-#[rstest]
-fn a_leader_without_a_configuration_grants_nothing() {
-    let mut view = bounded(1);
-    view.configuration = None;
-    Arc::make_mut(&mut view.replicas).insert("replica-0".to_string(), warming(0, 5_000));
-    let mut fixture = Fixture::new(view, OrderLeases::default());
-    fixture.advance(5_000);
-    fixture.handle(Event::Tick);
-    let now = fixture.now();
-    let ask = PermitAsk {
-        service: "engines",
-        regions: &Regions::Any,
-        tried: &[],
-        asked_at: 77_000,
-    };
-    assert_eq!(fixture.dispatcher().grant(&ask, now), None);
-}
-
-/// The permit shows whether its request counts: the edge may know of the warm-up before the leader.
-#[rstest]
-#[case(5_000, false)]
-#[case(0, true)]
-fn a_permit_for_a_warm_replica_has_no_end(#[case] warming_ms: u64, #[case] is_warm: bool) {
-    let mut fixture = leader();
-    fixture.set_replica(warming(0, warming_ms));
-    let now = fixture.now();
-    let ask = PermitAsk {
-        service: "engines",
-        regions: &Regions::Any,
-        tried: &[],
-        asked_at: 77_000,
-    };
-    let permit = fixture.dispatcher().grant(&ask, now).expect("granted");
-    assert_eq!(permit.send_by == u64::MAX, is_warm);
-}
-
 /// The leader before this one may go on granting, also where this one knew the replica as warm.
 #[rstest]
 fn a_budget_begins_as_spent_where_the_replica_was_warm() {
