--- a/crates/dispatch/src/action.rs
+++ b/crates/dispatch/src/action.rs
@@ -22,7 +22,7 @@
         /// The run.
         attempt: AttemptId,
     },
-    /// Tell an edge that the end of a run or scoring is recorded, so that it forgets it.
+    /// Have an edge forget a run or scoring, as its end is recorded.
     Recorded {
         /// Machine of the edge.
         machine: String,
--- a/crates/dispatch/src/demand.rs
+++ b/crates/dispatch/src/demand.rs
@@ -81,3 +81,7 @@
         (from != to && is_worth_it).then_some((from, to))
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/demand.rs"]
+mod tests;
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -208,7 +208,7 @@
         self.demand.record(&job.model, tokens, now);
     }
 
-    /// Moves what a suspension of this process would make look silent forward by its length.
+    /// Counts the time of a suspension of this process as no silence of runs and edges.
     fn skip_suspension(&mut self, now: Millis) {
         let gap = silence::suspended_for(self.ticked_at, now);
         self.ticked_at = now;
--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Does with the item of an ended run what [`retry::after_run`] says. The edge is told that
-    /// the end is recorded once the log has it, at once where nothing goes into the log.
+    /// Does with the item of an ended run what [`retry::after_run`] says. The edge forgets
+    /// the run once the log has the end, at once where nothing goes into the log.
     fn decide_next(
         &mut self,
         machine: &str,
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,6 +1,6 @@
 //! Which item of which job runs where, and which replica loads which version.
 //!
-//! Decided by the leader of the log alone and applied by edges. Free of I/O:
+//! Decided only by the leader of the log, applied by edges. Free of I/O:
 //! [`Dispatcher::handle`] takes an event and the present time and returns actions. All state here
 //! may be lost: a new leader begins from the table of jobs and from the runs that edges report.
 //!
--- a/crates/dispatch/src/loads.rs
+++ b/crates/dispatch/src/loads.rs
@@ -20,7 +20,7 @@
 /// with 16 replicas a model (docs/design/0014-placement-and-sight.md).
 const FIRST_SHARE: f64 = 0.2;
 /// A load is slow when it takes this many times the least and a [`REPORT_PAUSE`], which is how
-/// exactly its time is known. Not measured alone.
+/// exactly its time is known. Not measured by itself.
 const SLOW_LOAD_FACTOR: f64 = 1.25;
 /// Part of the limit that is left once loads are slow (docs/design/0016-large-fleets.md).
 const BACK_OFF: f64 = 0.75;
@@ -48,7 +48,7 @@
     first: usize,
     /// The least time a load took, in ms.
     least_ms: Option<f64>,
-    /// Whether the last load was slow: one alone may have another reason.
+    /// Whether the last load was slow: a single one may have another reason.
     was_slow: bool,
     /// Whether the limit was ever lowered: until then it doubles with each round of loads.
     has_backed_off: bool,
--- a/crates/dispatch/src/residency.rs
+++ b/crates/dispatch/src/residency.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns nothing. A job's log entries have the bodies of its items and of their scoring calls, so
 //! processes that keep the log, and edges that run an item, must be where both may be. The replica
-//! of an item is sent the item's body alone.
+//! of an item is sent only the item's body.
 
 use crate::dispatcher::Dispatcher;
 use crate::runs::Run;
--- a/crates/dispatch/src/runs.rs
+++ b/crates/dispatch/src/runs.rs
@@ -38,7 +38,7 @@
     pub heard_at: Millis,
     /// Events that it made itself, as far as this leader knows.
     pub made: u64,
-    /// Its edge was told to stop it.
+    /// Its edge was ordered to stop it.
     pub cancelled: bool,
     /// Since when it is being handed over to another replica.
     pub handed_over_at: Option<Millis>,
@@ -132,7 +132,7 @@
     }
 
     /// Cancels a run that an edge has and this leader does not know: it takes a place on a
-    /// replica, and nothing else would end it before its text is whole. The edge is not told to
+    /// replica, and nothing else would end it before its text is whole. The edge is not asked to
     /// forget it: if its text is whole it may be on its way into the log, and a cancellation does
     /// not affect it.
     fn cancel_unknown(&mut self, machine: &str, attempt: AttemptId) {
@@ -198,7 +198,7 @@
         });
     }
 
-    /// Tells an edge that a run's end is recorded, so that it forgets the run.
+    /// Has an edge forget a run, as its end is recorded.
     pub(crate) fn recorded(&mut self, machine: &str, attempt: AttemptId) {
         self.actions.push(Action::Recorded {
             machine: machine.to_string(),
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -49,7 +49,7 @@
         time.is_some_and(|time| now >= self.since + time + SCORE_MARGIN)
     }
 
-    /// Whether the call has had all its time, but for [`RUN_OUT_SLACK`]: the next one is told so.
+    /// Whether the call has had all its time, but for [`RUN_OUT_SLACK`]: the next edge is informed.
     fn has_run_out(&self, now: Millis) -> bool {
         let time = self.time;
         time.is_some_and(|time| now + RUN_OUT_SLACK >= self.since + time)
--- a/crates/dispatch/src/silence.rs
+++ b/crates/dispatch/src/silence.rs
@@ -33,7 +33,7 @@
 /// 100 ms, so that three ticks are missing, and less than [`STALLED_AFTER`].
 const SUSPENDED_AFTER: Millis = 350;
 
-/// Whether an edge reported after a run was heard of last, so that the run's silence is the
+/// Whether an edge reported after the last message on a run, so that the run's silence is the
 /// replica's. Inputs: when a message of the edge and one on the run arrived last.
 pub(crate) fn edge_reported_since(edge_heard_at: Millis, run_heard_at: Millis) -> bool {
     edge_heard_at > run_heard_at + SAME_REPORT
--- a/crates/dispatch/tests/silence.rs
+++ b/crates/dispatch/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Runs, edges and a leader from which nothing is heard.
+//! Silent runs and edges, and a leader that was suspended.
 
 mod fixture;
 mod support;
--- a/crates/dispatch/tests/unit/load_cost.rs
+++ b/crates/dispatch/tests/unit/load_cost.rs
@@ -3,7 +3,7 @@
 use super::{LoadCost, Means};
 use rstest::rstest;
 
-/// Replicas of two speeds, filled in waves; a pace in ten tells of something else.
+/// Replicas of two speeds, filled in waves; a pace in ten has another reason.
 fn learned(slope: f64, paces: usize) -> f64 {
     const SPEEDS: [f64; 3] = [48.0, 48.0, 62.0];
     let mut cost = LoadCost::default();
--- a/crates/dispatch/tests/unit/silence.rs
+++ b/crates/dispatch/tests/unit/silence.rs
@@ -3,7 +3,7 @@
 use super::{edge_reported_since, is_edge_silent, is_hand_over_late, is_stalled, suspended_for};
 use rstest::rstest;
 
-/// When a run was heard of last, in ms.
+/// When the last message on a run arrived, in ms.
 const HEARD_AT: u64 = 10_000;
 
 #[rstest]
--- a/crates/jobs/tests/away.rs
+++ b/crates/jobs/tests/away.rs
@@ -1,4 +1,4 @@
-//! Texts of ended jobs that lie outside the table.
+//! Texts of ended jobs that are on disk.
 
 use brasspond_jobs::{Command, Draft, Item, JobTable, Page, Submission};
 use bytes::Bytes;
--- a/crates/jobs/tests/table.rs
+++ b/crates/jobs/tests/table.rs
@@ -272,8 +272,8 @@
     }
 }
 
-/// A step of two items a group: `listed` items are listed; of an earlier step the items
-/// of `carried` groups come again.
+/// A step of two items a group: `listed` items are listed; it has the items of `carried` groups of
+/// an earlier step again.
 #[rstest]
 #[case::nothing(&[], 0, StepState::Awaited)]
 #[case::no_whole_group(&[0, 2, 4, 6], 0, StepState::Awaited)]
