--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -5,7 +5,7 @@
 use crate::action::Action;
 use crate::dispatcher::Dispatcher;
 use crate::earlier_texts::draft_of;
-use crate::jobs::State;
+use crate::job_run::State;
 use crate::retry::{self, NextStep};
 use crate::runs::Run;
 use brasspond_cluster_protocol::{AttemptId, RunEnd, StreamEvent};
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Does with the item of an ended run what [`retry::after_run`] says. The edge is told that
-    /// the end is recorded once the log has it, at once where nothing goes into the log.
+    /// Does with the item of an ended run what [`retry::after_run`] says. The edge forgets
+    /// the run once the log has the end, at once where nothing goes into the log.
     fn decide_next(
         &mut self,
         machine: &str,
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,6 +1,6 @@
 //! Which item of which job runs where, and which replica loads which version.
 //!
-//! Decided by the leader of the log alone and applied by edges. Free of I/O:
+//! Decided only by the leader of the log, applied by edges. Free of I/O:
 //! [`Dispatcher::handle`] takes an event and the present time and returns actions. All state here
 //! may be lost: a new leader begins from the table of jobs and from the runs that edges report.
 //!
@@ -30,6 +30,7 @@
 mod ending;
 mod event;
 mod job_route;
+mod job_run;
 mod jobs;
 mod leases;
 mod load_cost;
