--- a/crates/dispatch/src/demand.rs
+++ b/crates/dispatch/src/demand.rs
@@ -66,6 +66,7 @@
         let lacks = |number: &usize| parts[*number] - counts[*number] as f64;
         let neediest =
             (0..models.len()).max_by(|a, b| lacks(a).total_cmp(&lacks(b)).then(b.cmp(a)));
+        // Callers name one model at least.
         neediest.unwrap_or(0)
     }
 
--- a/crates/dispatch/src/jobs.rs
+++ b/crates/dispatch/src/jobs.rs
@@ -254,6 +254,7 @@
     /// The newest of the oldest versions that jobs of a model allow.
     pub fn newest_asked(&self, model: &str) -> u64 {
         let of_model = self.jobs.values().filter(|job| job.model == model);
+        // Without jobs any version will do.
         of_model.map(|job| job.min_version).max().unwrap_or(0)
     }
 
--- a/crates/dispatch/src/leases.rs
+++ b/crates/dispatch/src/leases.rs
@@ -15,6 +15,7 @@
 impl OrderLeases {
     /// Whether another holder's lease forbids orders on a subject.
     pub fn is_leased(&self, subject: &str, now: Millis) -> bool {
+        // 0: no lease on this subject.
         let own = self.until.get(subject).copied().unwrap_or(0);
         now < own.max(self.all_until)
     }
--- a/crates/dispatch/src/replicas.rs
+++ b/crates/dispatch/src/replicas.rs
@@ -131,7 +131,7 @@
         self.index_budgets(now);
     }
 
-    /// How much slower a full replica of a service is.
+    /// How much slower a full replica of a service is; the prior before any pace was seen.
     pub fn load_cost(&self, service: &str) -> LoadCost {
         self.load_costs.get(service).copied().unwrap_or_default()
     }
--- a/crates/dispatch/src/status.rs
+++ b/crates/dispatch/src/status.rs
@@ -55,6 +55,7 @@
         let serving = serving.filter(|(_, replica)| !replica.standing.versions.is_empty());
         for (id, replica) in serving.take(MOST_LOGGED) {
             let newest = replica.standing.versions.values().max();
+            // Filtered above: it serves one at least.
             let newest = newest.copied().unwrap_or(0);
             let running = replica.running;
             let mark = if self.orders.is_loading_any(id) {
--- a/crates/dispatch/src/warming.rs
+++ b/crates/dispatch/src/warming.rs
@@ -160,6 +160,7 @@
 
     fn renew_opening(&mut self) {
         let opens_at = self.budget.as_ref().map(Budget::opens_at);
+        // Without a budget nothing opens.
         self.standing.opens_at = opens_at.unwrap_or(Millis::MAX);
     }
 }
@@ -199,6 +200,7 @@
 
     /// Until when other processes may have sent requests that are not known here, in ms.
     pub fn unknown_until(&self, now: Millis) -> Millis {
+        // Not yet confirmed: others may send until now.
         self.warming.confirmed_since.unwrap_or(now) + LEADERS_OVERLAP
     }
 }
--- a/crates/fleet/examples/lookup_cost.rs
+++ b/crates/fleet/examples/lookup_cost.rs
@@ -1,5 +1,5 @@
-//! What finding a route and a tenant costs at many routes and keys, by a walk and by the
-//! look-up made once a configuration:
+//! The time of finding a route and a tenant among many routes and keys, by a pass over the
+//! configuration and by its index:
 //!
 //! ```text
 //! cargo run --release -p brasspond-fleet --example lookup_cost -- ROUTES KEYS
--- a/crates/jobs/src/away.rs
+++ b/crates/jobs/src/away.rs
@@ -91,6 +91,7 @@
 
 impl Job {
     fn set_text(&mut self, position: u64, new: Bytes) {
+        // A position beyond what a machine can address has no result.
         let position = usize::try_from(position).ok();
         let result = position.and_then(|position| self.results.get_mut(position));
         if let Some((_, Outcome::Completed { text, .. })) = result {
