--- a/crates/dispatch/src/silence.rs
+++ b/crates/dispatch/src/silence.rs
@@ -24,8 +24,8 @@
 /// report. Not measured.
 const SAME_REPORT: Millis = 50;
 /// Longest time to wait for the last events of a run that is handed over, in ms: an answer
-/// takes 1 to 7 ms (docs/design/0014-placement-and-sight.md), and one that is lost comes again
-/// with the edge's next report ([`EDGE_REPORT_PAUSE`]) and its way here.
+/// takes 1 to 7 ms (docs/design/0014-placement-and-sight.md); the rest is for a busy edge, a little
+/// more than [`EDGE_REPORT_PAUSE`]. Other figures were not measured.
 const HAND_OVER_TIMEOUT: Millis = 300;
 /// An edge is silent after this time without a message, in ms: two heartbeats are missing.
 const EDGE_SILENT_AFTER: Millis = 2 * EDGE_HEARTBEAT_PAUSE;
--- a/crates/warmup/src/budget.rs
+++ b/crates/warmup/src/budget.rs
@@ -8,9 +8,9 @@
 
 /// Time for which the leader before may go on granting after a new one begins, in ms: until then
 /// the new one counts all that replicas bear as granted, which delays its first grant by as much.
-/// Two leaders are never confirmed at one moment by true clocks; this covers one that was
-/// suspended between the check and the grant. The longest such overlap that fuzzing found is 351
-/// ms (`tests/granting.rs`).
+/// No two leaders are confirmed at one moment; this covers a clock, or an estimate of one, that is
+/// wrong by less. Without it fuzzing found the rate exceeded at an overlap of 351 ms
+/// (`tests/granting.rs`).
 pub const LEADERS_OVERLAP: Millis = 500;
 
 /// What a replica may be granted: at most [`Rate::most`] in any span of [`Rate::span_ms`].
--- a/crates/warmup/src/permit.rs
+++ b/crates/warmup/src/permit.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 /// Time in which a granted request must be sent, in ms: a message from the leader and a new
-/// connection, also on a busy edge, both some ms. Each ms leaves a thousandth of the budget
+/// connection fit into it, also on a busy edge. Each ms leaves a thousandth of the budget
 /// unused: with 100 ms 10.9 of 12 requests a second are granted. Other figures were not measured.
 pub const PERMIT_MS: Millis = 100;
 
