--- a/standalone/control/src/control.rs
+++ b/standalone/control/src/control.rs
@@ -2,21 +2,20 @@
 
 use crate::claims::Claims;
 use crate::context::{Context, Working};
-use crate::event::{Action, Event, GenerateRequest, Refusal, RefusalKind, Reply, RequestId};
+use crate::event::{Action, Event};
 use crate::fleet::{Fleet, FleetStatus};
-use crate::generation::{GenerationEnd, GenerationSpec, Generations, Purpose};
+use crate::generation::Generations;
 use crate::owner_table::OwnerTable;
 use crate::parameters::Parameters;
 use crate::steps::Steps;
 use crate::store_reader::StoreReader;
 use crate::versions::Versions;
 use crate::writes::Writes;
-use brasspond_dissemination::{self as dissemination, Readiness, Replica};
-use brasspond_idempotency::ClaimKey;
-use brasspond_membership::{self as membership, Member, MemberState, Membership};
-use brasspond_protocol::{AdmissionMessage, Envelope, PeerMessage, Sender, StepRequest};
+use brasspond_dissemination::{Readiness, Replica};
+use brasspond_membership::{Member, MemberState, Membership};
+use brasspond_protocol::{PeerMessage, Sender};
 use brasspond_resource::{Catalogue, Revision};
-use brasspond_routing::{EngineTable, estimate_tokens, prefix_hashes};
+use brasspond_routing::EngineTable;
 use brasspond_types::{Mutation, NodeName, Timestamp, WeightVersion};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -77,6 +76,8 @@
 }
 
 mod configuration;
+mod messages;
+mod requests;
 
 impl Control {
     /// Creates a node that knows some seeds and perhaps a configuration kept
@@ -264,194 +265,6 @@
         }
     }
 
-    /// A draining node still answers for the steps that it hands over.
-    fn begin_step(&mut self, request: RequestId, body: StepRequest, now: Timestamp) {
-        if !self.is_ready() && !self.draining {
-            self.refuse_not_ready(request, now);
-            return;
-        }
-        with_context!(self, now, |context| self
-            .steps
-            .begin(request, body, context));
-    }
-
-    fn begin_claim(&mut self, request: RequestId, key: ClaimKey, now: Timestamp) {
-        if !self.is_ready() {
-            self.refuse_not_ready(request, now);
-            return;
-        }
-        with_context!(self, now, |context| self
-            .claims
-            .begin(request, key, context));
-    }
-
-    fn refuse_not_ready(&mut self, request: RequestId, now: Timestamp) {
-        let refusal = Refusal {
-            kind: RefusalKind::NotReady,
-            not_run: true,
-            retry_after: NOT_READY_RETRY,
-        };
-        with_context!(self, now, |context| {
-            context.reply(request, Reply::Refused(refusal));
-        });
-    }
-
-    fn generate(&mut self, request: RequestId, body: &GenerateRequest, now: Timestamp) {
-        if !self.is_ready() {
-            self.refuse_not_ready(request, now);
-            return;
-        }
-        let prefix = prefix_hashes(body.model.as_str(), &body.prompt);
-        let spec = GenerationSpec {
-            purpose: Purpose::Caller(request),
-            group: body.group.clone(),
-            model: body.model.clone(),
-            prompt: Arc::clone(&body.prompt),
-            prefix: prefix.into(),
-            prompt_tokens: estimate_tokens(&body.prompt),
-            max_tokens: body.max_tokens,
-            expected_tokens: f64::from(body.max_tokens) / 2.0,
-            priority: body.priority,
-            seed: body.seed,
-            minimum_version: body.minimum_version,
-            deadline: now + body.time_limit,
-            resume: brasspond_rollout::Partial::default(),
-        };
-        with_context!(self, now, |context| {
-            self.generations
-                .begin(spec, &mut self.engines, &mut self.owners, context);
-        });
-    }
-
-    fn generation_ended(&mut self, end: GenerationEnd, now: Timestamp) {
-        match end {
-            GenerationEnd::Finished {
-                purpose,
-                generated,
-                reason,
-            } => match purpose {
-                Purpose::Caller(request) => with_context!(self, now, |context| {
-                    context.reply(request, Reply::Generated);
-                }),
-                Purpose::Slot(sample) => with_context!(self, now, |context| {
-                    self.steps
-                        .finished(&sample, generated, reason, &self.versions, context);
-                    if self.readiness.is_ready() {
-                        self.steps.pump(
-                            &self.versions,
-                            &mut self.generations,
-                            &mut self.engines,
-                            &mut self.owners,
-                            context,
-                        );
-                    }
-                }),
-            },
-            GenerationEnd::Refused {
-                purpose,
-                mut refusal,
-            } => match purpose {
-                Purpose::Caller(request) => with_context!(self, now, |context| {
-                    let lies = context.parameters.mutations.is_on(Mutation::ClaimNotRun);
-                    refusal.not_run |= lies;
-                    context.reply(request, Reply::Refused(refusal));
-                }),
-                Purpose::Slot(sample) => self.steps.given_up(&sample),
-            },
-        }
-    }
-
-    fn peer(&mut self, envelope: Envelope, now: Timestamp) {
-        let Envelope {
-            sender,
-            revision,
-            message,
-            ..
-        } = envelope;
-        if revision >= self.replica.known() && self.is_elsewhere(&sender.node) {
-            self.confirmed = true;
-        }
-        let is_elsewhere = self.is_elsewhere(&sender.node);
-        let outputs = self
-            .replica
-            .peer_revision(&sender.node, revision, is_elsewhere, now);
-        self.replica_outputs(outputs, now);
-        self.peer_message(&sender, message, now);
-    }
-
-    fn peer_message(&mut self, sender: &Sender, message: PeerMessage, now: Timestamp) {
-        match message {
-            PeerMessage::Membership(message) => {
-                let Some(address) = sender.address else {
-                    return;
-                };
-                let outputs = self.membership.handle(&sender.node, address, message, now);
-                self.membership_outputs(outputs, now);
-            }
-            PeerMessage::Configuration(message) => {
-                if let dissemination::Message::RevisionAnswer { known } = &message {
-                    self.readiness.hear_peer(&sender.node, *known);
-                }
-                let is_elsewhere = self.is_elsewhere(&sender.node);
-                let outputs = self
-                    .replica
-                    .handle(&sender.node, message, is_elsewhere, now);
-                self.replica_outputs(outputs, now);
-            }
-            PeerMessage::Admission(message) => self.admission(sender, &message, now),
-            PeerMessage::Step(message) => with_context!(self, now, |context| {
-                self.steps
-                    .handle(&sender.node, message, &mut self.versions, context);
-            }),
-            PeerMessage::Claim(message) => with_context!(self, now, |context| {
-                self.claims.handle(sender, message, context);
-            }),
-            report @ PeerMessage::Report { .. } => self.fleet.reported(sender, report, now),
-            PeerMessage::Summary(summary) => with_context!(self, now, |context| {
-                if let Some(excess) = self.fleet.learn(summary, context) {
-                    self.owners.correct(&excess);
-                    self.engines.set_pool(self.fleet.pool());
-                }
-            }),
-        }
-    }
-
-    fn admission(&mut self, sender: &Sender, message: &AdmissionMessage, now: Timestamp) {
-        let is_to_owner = matches!(
-            message,
-            AdmissionMessage::Enqueue { .. } | AdmissionMessage::Release { .. }
-        );
-        with_context!(self, now, |context| {
-            if is_to_owner {
-                self.owners.handle(sender, message, context);
-            } else {
-                self.generations.handle_owner(
-                    message,
-                    &mut self.engines,
-                    &mut self.owners,
-                    context,
-                );
-            }
-        });
-    }
-
-    fn membership_outputs(&mut self, outputs: Vec<membership::Output>, now: Timestamp) {
-        let mut changed = false;
-        for output in outputs {
-            match output {
-                membership::Output::Send(to, address, message) => {
-                    with_context!(self, now, |context| {
-                        context.send_to_address(&to, address, PeerMessage::Membership(message));
-                    });
-                }
-                membership::Output::Changed(_) => changed = true,
-            }
-        }
-        if changed {
-            self.members_changed(now);
-        }
-    }
-
     fn refresh_working(&mut self) {
         let members = self.membership.working().into_iter().cloned().collect();
         self.working = Working::new(members, &self.me, self.parameters.store_readers);
--- /dev/null
+++ b/standalone/control/src/control/messages.rs
@@ -0,0 +1,106 @@
+//! Messages of other nodes, handed to the part that each concerns.
+
+use super::Control;
+use crate::context::Context;
+use brasspond_dissemination::{self as dissemination};
+use brasspond_membership as membership;
+use brasspond_protocol::{AdmissionMessage, Envelope, PeerMessage, Sender};
+use brasspond_types::Timestamp;
+
+impl Control {
+    pub(super) fn peer(&mut self, envelope: Envelope, now: Timestamp) {
+        let Envelope {
+            sender,
+            revision,
+            message,
+            ..
+        } = envelope;
+        if revision >= self.replica.known() && self.is_elsewhere(&sender.node) {
+            self.confirmed = true;
+        }
+        let is_elsewhere = self.is_elsewhere(&sender.node);
+        let outputs = self
+            .replica
+            .peer_revision(&sender.node, revision, is_elsewhere, now);
+        self.replica_outputs(outputs, now);
+        self.peer_message(&sender, message, now);
+    }
+
+    pub(super) fn peer_message(&mut self, sender: &Sender, message: PeerMessage, now: Timestamp) {
+        match message {
+            PeerMessage::Membership(message) => {
+                let Some(address) = sender.address else {
+                    return;
+                };
+                let outputs = self.membership.handle(&sender.node, address, message, now);
+                self.membership_outputs(outputs, now);
+            }
+            PeerMessage::Configuration(message) => {
+                if let dissemination::Message::RevisionAnswer { known } = &message {
+                    self.readiness.hear_peer(&sender.node, *known);
+                }
+                let is_elsewhere = self.is_elsewhere(&sender.node);
+                let outputs = self
+                    .replica
+                    .handle(&sender.node, message, is_elsewhere, now);
+                self.replica_outputs(outputs, now);
+            }
+            PeerMessage::Admission(message) => self.admission(sender, &message, now),
+            PeerMessage::Step(message) => with_context!(self, now, |context| {
+                self.steps
+                    .handle(&sender.node, message, &mut self.versions, context);
+            }),
+            PeerMessage::Claim(message) => with_context!(self, now, |context| {
+                self.claims.handle(sender, message, context);
+            }),
+            report @ PeerMessage::Report { .. } => self.fleet.reported(sender, report, now),
+            PeerMessage::Summary(summary) => with_context!(self, now, |context| {
+                if let Some(excess) = self.fleet.learn(summary, context) {
+                    self.owners.correct(&excess);
+                    self.engines.set_pool(self.fleet.pool());
+                }
+            }),
+        }
+    }
+
+    pub(super) fn admission(
+        &mut self,
+        sender: &Sender,
+        message: &AdmissionMessage,
+        now: Timestamp,
+    ) {
+        let is_to_owner = matches!(
+            message,
+            AdmissionMessage::Enqueue { .. } | AdmissionMessage::Release { .. }
+        );
+        with_context!(self, now, |context| {
+            if is_to_owner {
+                self.owners.handle(sender, message, context);
+            } else {
+                self.generations.handle_owner(
+                    message,
+                    &mut self.engines,
+                    &mut self.owners,
+                    context,
+                );
+            }
+        });
+    }
+
+    pub(super) fn membership_outputs(&mut self, outputs: Vec<membership::Output>, now: Timestamp) {
+        let mut changed = false;
+        for output in outputs {
+            match output {
+                membership::Output::Send(to, address, message) => {
+                    with_context!(self, now, |context| {
+                        context.send_to_address(&to, address, PeerMessage::Membership(message));
+                    });
+                }
+                membership::Output::Changed(_) => changed = true,
+            }
+        }
+        if changed {
+            self.members_changed(now);
+        }
+    }
+}
--- a/standalone/control/src/steps.rs
+++ b/standalone/control/src/steps.rs
@@ -1,9 +1,12 @@
 //! Steps at this node: as their home, and as keeper of copies.
 
 mod entry;
+mod keeping;
+mod requests;
+mod serving;
 
 use crate::context::Context;
-use crate::event::{Reply, RequestId};
+use crate::event::RequestId;
 use crate::generation::Generations;
 use crate::owner_table::OwnerTable;
 use crate::step_copies::Copies;
@@ -132,50 +135,6 @@
             .collect()
     }
 
-    /// A trainer's request came to this node: forward it to the step's home.
-    pub(crate) fn begin(
-        &mut self,
-        request: RequestId,
-        body: StepRequest,
-        context: &mut Context<'_>,
-    ) {
-        let number = self.next_forward;
-        self.next_forward += 1;
-        let wait = match &body {
-            StepRequest::Fetch {
-                wait_milliseconds, ..
-            } => u64::from(*wait_milliseconds),
-            _ => 0,
-        };
-        let forwarded = Forwarded {
-            request,
-            body,
-            sent: context.now,
-            until: context.now + FORWARD_LIMIT + Duration::from_millis(wait),
-        };
-        self.forwarded.insert(number, forwarded);
-        self.forward(number, context);
-    }
-
-    fn forward(&mut self, number: u64, context: &mut Context<'_>) {
-        let Some(forwarded) = self.forwarded.get_mut(&number) else {
-            return;
-        };
-        forwarded.sent = context.now;
-        let home = Self::holders(forwarded.body.step(), context)
-            .into_iter()
-            .next();
-        let id = StepRequestId {
-            instance: context.instance,
-            number,
-        };
-        let request = forwarded.body.clone();
-        if let Some(home) = home {
-            let message = StepMessage::Request { id, request };
-            context.send(&home, PeerMessage::Step(message));
-        }
-    }
-
     /// Handles a message about a step.
     pub(crate) fn handle(
         &mut self,
@@ -219,95 +178,11 @@
         }
     }
 
-    fn replied(&mut self, number: u64, reply: StepReply, context: &mut Context<'_>) {
-        if let Some(forwarded) = self.forwarded.remove(&number) {
-            context.reply(forwarded.request, Reply::Step(reply));
-        }
-    }
-
     fn drop_step(&mut self, step: &StepId, now: Timestamp) {
         self.entries.remove(step);
         self.closed.insert(step.clone(), now);
     }
 
-    /// Serves a trainer's request at the home.
-    fn serve(
-        &mut self,
-        from: &NodeName,
-        id: StepRequestId,
-        request: StepRequest,
-        versions: &mut Versions,
-        context: &mut Context<'_>,
-    ) {
-        let step = request.step().clone();
-        let is_home = Self::holders(&step, context).first() == Some(context.me);
-        if !is_home {
-            answer(from, id, StepReply::NotHome, context);
-            return;
-        }
-        match &request {
-            StepRequest::Open {
-                spec,
-                newest_version,
-            } => {
-                versions.hear(&spec.model, *newest_version, context.now);
-                if let Some(refusal) = self.open(spec, context) {
-                    answer(from, id, refusal, context);
-                    return;
-                }
-            }
-            StepRequest::Fetch { newest_version, .. } => {
-                if let Some(entry) = self.entries.get(&step) {
-                    versions.hear(&entry.step.spec().model, *newest_version, context.now);
-                }
-            }
-            StepRequest::Close(_) => {
-                self.close(&step, context);
-                answer(from, id, StepReply::Closed, context);
-                return;
-            }
-        }
-        let Some(entry) = self.entries.get_mut(&step) else {
-            answer(from, id, StepReply::Unknown, context);
-            return;
-        };
-        let wait = match &request {
-            StepRequest::Fetch {
-                wait_milliseconds, ..
-            } => u64::from(*wait_milliseconds),
-            _ => FORWARD_LIMIT.as_millis() as u64,
-        };
-        entry
-            .parked
-            .retain(|parked| parked.id != id || parked.from != *from);
-        entry.parked.push(Parked {
-            from: from.clone(),
-            id,
-            request,
-            until: context.now + Duration::from_millis(wait),
-        });
-        self.answer_parked(&step, versions, context);
-    }
-
-    /// Opens a step here, or says why not.
-    fn open(&mut self, spec: &Arc<StepSpec>, context: &Context<'_>) -> Option<StepReply> {
-        if let Some(entry) = self.entries.get(&spec.id) {
-            let is_same = entry.step.spec() == spec;
-            return (!is_same).then_some(StepReply::Conflict);
-        }
-        let group = context.catalogue.group(spec.id.group.as_str());
-        let most = group.map_or(1, |group| group.limits.open_steps);
-        let open = self.entries.values();
-        let open =
-            open.filter(|entry| entry.is_home && entry.step.spec().id.group == spec.id.group);
-        if open.count() >= most as usize {
-            return Some(StepReply::TooManySteps);
-        }
-        self.closed.remove(&spec.id);
-        self.insert(Arc::clone(spec), context);
-        None
-    }
-
     fn insert(&mut self, spec: Arc<StepSpec>, context: &Context<'_>) -> &mut Entry {
         let id = spec.id.clone();
         let holders = Self::holders(&id, context);
@@ -328,92 +203,6 @@
         entry
     }
 
-    fn close(&mut self, step: &StepId, context: &mut Context<'_>) {
-        if let Some(entry) = self.entries.get(step) {
-            let by = context.me.clone();
-            for holder in entry.copies.keepers() {
-                let message = StepMessage::Drop {
-                    step: step.clone(),
-                    by: by.clone(),
-                };
-                context.send(&holder, PeerMessage::Step(message));
-            }
-        }
-        self.drop_step(step, context.now);
-    }
-
-    fn keep_spec(
-        &mut self,
-        from: &NodeName,
-        spec: Arc<StepSpec>,
-        under_way: Vec<u32>,
-        context: &mut Context<'_>,
-    ) {
-        let id = spec.id.clone();
-        let copied = StepMessage::SpecCopied(id.clone());
-        context.send(from, PeerMessage::Step(copied));
-        if self.closed.contains_key(&id) {
-            return;
-        }
-        let entry = match self.entries.contains_key(&id) {
-            true => self.entries.get_mut(&id),
-            false => Some(self.insert(spec, context)),
-        };
-        let Some(entry) = entry else {
-            return;
-        };
-        entry.copies.came_from(from);
-        entry.set_elsewhere(from, under_way, context.now);
-    }
-
-    fn keep_results(
-        &mut self,
-        from: &NodeName,
-        step: StepId,
-        samples: Vec<Arc<Sample>>,
-        versions: &Versions,
-        context: &mut Context<'_>,
-    ) {
-        let slots = samples.iter().map(|sample| sample.slot).collect();
-        let is_closed = self.closed.contains_key(&step);
-        if let Some(entry) = self.entries.get_mut(&step) {
-            for sample in samples {
-                let slot = sample.slot;
-                entry.elsewhere.remove(&slot);
-                if entry.step.finish(sample) {
-                    entry.copies.add_results(&[slot], Some(from));
-                }
-            }
-        } else if !is_closed {
-            return;
-        }
-        let copied = StepMessage::ResultsCopied {
-            step: step.clone(),
-            slots,
-        };
-        context.send(from, PeerMessage::Step(copied));
-        self.answer_parked(&step, versions, context);
-    }
-
-    /// Answers what waits at a step and can be answered now.
-    fn answer_parked(&mut self, step: &StepId, versions: &Versions, context: &mut Context<'_>) {
-        let Some(entry) = self.entries.get_mut(step) else {
-            return;
-        };
-        let mut waiting = Vec::new();
-        for parked in std::mem::take(&mut entry.parked) {
-            let is_late = parked.until <= context.now;
-            match entry.try_answer(&parked.request, is_late, versions, context) {
-                Some((reply, stale)) => {
-                    self.stale_slots += stale;
-                    answer(&parked.from, parked.id, reply, context);
-                }
-                None => waiting.push(parked),
-            }
-        }
-        entry.parked = waiting;
-    }
-
     /// A generation for a slot ended with a whole answer.
     pub(crate) fn finished(
         &mut self,
@@ -500,18 +289,6 @@
         self.pump(versions, generations, engines, owners, context);
     }
 
-    fn resend_forwarded(&mut self, context: &mut Context<'_>) {
-        let numbers: Vec<u64> = self.forwarded.keys().copied().collect();
-        for number in numbers {
-            let forwarded = &self.forwarded[&number];
-            if forwarded.until <= context.now {
-                self.replied(number, StepReply::Unknown, context);
-            } else if context.now.since(forwarded.sent) >= FORWARD_RESEND {
-                self.forward(number, context);
-            }
-        }
-    }
-
     /// Places slots of all steps this node is home of, older steps first.
     pub(crate) fn pump(
         &mut self,
--- a/standalone/emulator/src/engine.rs
+++ b/standalone/emulator/src/engine.rs
@@ -1,5 +1,7 @@
 //! A model engine with continuous batching.
 
+mod decoding;
+
 use crate::cache::PrefixCache;
 use crate::text::{LengthDistribution, answer_length};
 use brasspond_engine_api::{Command, EngineCall, EngineOrder, EngineReport, OrderOutcome};
@@ -9,7 +11,7 @@
     EngineName, FinishReason, ModelName, NodeName, Timestamp, WeightVersion, total_tokens,
 };
 use displaydoc::Display;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -333,172 +335,6 @@
         self.step_until(now);
         std::mem::take(&mut self.events)
     }
-
-    fn can_admit(&self) -> bool {
-        self.waiting_count() > 0 && self.running.len() < self.parameters.max_running as usize
-    }
-
-    fn step_time(&self, prefill_tokens: u64) -> Duration {
-        let batch = self.running.len() as u64 * self.parameters.step_per_sequence_nanos;
-        let context = self.context_tokens * self.parameters.step_per_context_token_nanos;
-        let prefill = prefill_tokens * self.parameters.prefill_per_token_nanos;
-        self.parameters.step_base + Duration::from_nanos(batch + context + prefill)
-    }
-
-    fn step_until(&mut self, now: Timestamp) {
-        while self.clock < now {
-            self.swap_ready();
-            let prefill = self.admit();
-            if self.running.is_empty() {
-                let waits = self.loading.values().map(|loading| loading.ready);
-                let next_swap = waits.filter(|ready| *ready > self.clock).min();
-                self.clock = next_swap.map_or(now, |ready| ready.min(now));
-                self.swap_ready();
-                continue;
-            }
-            if !self.run_steps(prefill, now) {
-                return;
-            }
-        }
-    }
-
-    /// Moves waiting requests into the batch; returns the tokens to prefill.
-    fn admit(&mut self) -> u64 {
-        let mut prefill = 0;
-        while self.running.len() < self.parameters.max_running as usize {
-            let Some(sequence) = self.next_admissible() else {
-                break;
-            };
-            let cached = self.cache.touch(&sequence.call.prefix);
-            let needed = context_of(&sequence);
-            prefill += needed.saturating_sub(u64::from(cached));
-            self.context_tokens += needed;
-            self.running.push(sequence);
-        }
-        prefill
-    }
-
-    /// The first waiting request whose model is not draining for a swap.
-    fn next_admissible(&mut self) -> Option<Sequence> {
-        let draining: Vec<ModelName> = self
-            .loading
-            .iter()
-            .filter(|(_, loading)| loading.swap == SwapPolicy::Drain && loading.ready <= self.clock)
-            .map(|(model, _)| model.clone())
-            .collect();
-        for queue in self.waiting.values_mut() {
-            let position = queue
-                .iter()
-                .position(|sequence| !draining.contains(&sequence.call.model));
-            if let Some(position) = position {
-                return queue.remove(position);
-            }
-        }
-        None
-    }
-
-    /// Runs decoding steps until something changes or `now` is reached.
-    /// Returns false if the next step would end behind `now`.
-    fn run_steps(&mut self, prefill: u64, now: Timestamp) -> bool {
-        /// Most steps worked out at once: bounds the error in context length to 64 tokens a
-        /// sequence; not measured.
-        const MOST_STEPS: u64 = 64;
-        if prefill > 0 {
-            let time = Duration::from_nanos(prefill * self.parameters.prefill_per_token_nanos);
-            self.clock = self.clock + time;
-            if self.clock >= now {
-                return false;
-            }
-        }
-        let step = self.step_time(0);
-        let time_left = now.since(self.clock);
-        let fitting = (time_left.as_nanos() / step.as_nanos().max(1)) as u64;
-        if fitting == 0 {
-            return false;
-        }
-        let remaining = self
-            .running
-            .iter()
-            .map(|sequence| sequence.length - sequence.generated);
-        let remaining = u64::from(remaining.min().unwrap_or(1)).max(1);
-        let until_swap = self.steps_until_swap(step);
-        let steps = fitting.min(remaining).min(until_swap).min(MOST_STEPS) as u32;
-        self.clock = self.clock + step * steps;
-        self.generate(steps);
-        true
-    }
-
-    fn steps_until_swap(&self, step: Duration) -> u64 {
-        let waits = self
-            .loading
-            .values()
-            .filter(|loading| loading.ready > self.clock);
-        let first = waits.map(|loading| loading.ready.since(self.clock)).min();
-        first.map_or(u64::MAX, |wait| {
-            (wait.as_nanos() / step.as_nanos().max(1)) as u64 + 1
-        })
-    }
-
-    fn generate(&mut self, steps: u32) {
-        let mut index = 0;
-        while index < self.running.len() {
-            let sequence = &mut self.running[index];
-            let version = self
-                .models
-                .get(&sequence.call.model)
-                .copied()
-                .unwrap_or_default();
-            self.events.push(EngineEvent::Tokens {
-                id: sequence.id,
-                start: sequence.generated,
-                count: steps,
-                version,
-            });
-            sequence.generated += steps;
-            self.context_tokens += u64::from(steps);
-            if sequence.generated < sequence.length {
-                index += 1;
-                continue;
-            }
-            let sequence = self.running.swap_remove(index);
-            self.context_tokens -= context_of(&sequence);
-            self.events.push(EngineEvent::Finished {
-                id: sequence.id,
-                reason: sequence.reason,
-            });
-        }
-    }
-
-    /// Puts versions in force whose transfer is done and, where samples must
-    /// not see the swap, whose samples are done.
-    fn swap_ready(&mut self) {
-        let ready: Vec<ModelName> = self
-            .loading
-            .iter()
-            .filter(|(model, loading)| {
-                let must_drain = loading.swap == SwapPolicy::Drain;
-                let runs = |sequence: &Sequence| sequence.call.model == **model;
-                loading.ready <= self.clock && !(must_drain && self.running.iter().any(runs))
-            })
-            .map(|(model, _)| model.clone())
-            .collect();
-        for model in ready {
-            let Some(loading) = self.loading.remove(&model) else {
-                continue;
-            };
-            self.clock = self.clock + self.parameters.swap_pause;
-            let fails = self.random.random_bool(self.parameters.swap_failure);
-            if fails {
-                let keeps_old = self.random.random_bool(0.5);
-                if !keeps_old {
-                    let other = WeightVersion(loading.version.0.saturating_sub(1));
-                    self.models.insert(model, other);
-                }
-                continue;
-            }
-            self.models.insert(model, loading.version);
-        }
-    }
 }
 
 fn context_of(sequence: &Sequence) -> u64 {
--- a/standalone/membership/src/detector.rs
+++ b/standalone/membership/src/detector.rs
@@ -1,12 +1,14 @@
 //! The failure detector: `(state, event, now) -> outputs`.
 
+mod probes;
+mod updates;
+
 use crate::broadcast::BroadcastQueue;
 use crate::member::{Member, MemberState, Message, Update};
 use brasspond_types::{NodeName, Timestamp};
-use rand::seq::{IndexedRandom, SliceRandom};
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -258,42 +260,6 @@
         self.sequence
     }
 
-    fn start_probe(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        let Some(target) = self.next_target() else {
-            return;
-        };
-        let Some(member) = self.members.get(&target) else {
-            return;
-        };
-        let address = member.address;
-        let sequence = self.next_sequence();
-        let mut updates = self.take_updates();
-        self.add_doubt_about(&target, &mut updates);
-        let ping = Message::Ping { sequence, updates };
-        outputs.push(Output::Send(target.clone(), address, ping));
-        self.probe = Some(Probe {
-            sequence,
-            target,
-            sent: now,
-            indirect_sent: false,
-        });
-    }
-
-    /// The next member in a shuffled round over all that are not dead.
-    fn next_target(&mut self) -> Option<NodeName> {
-        loop {
-            if self.probe_order.is_empty() {
-                self.probe_order = self.names_not_dead();
-                self.probe_order.shuffle(&mut self.random);
-            }
-            let name = self.probe_order.pop()?;
-            let member = self.members.get(&name);
-            if member.is_some_and(|member| member.state != MemberState::Dead) {
-                return Some(name);
-            }
-        }
-    }
-
     fn names_not_dead(&self) -> Vec<NodeName> {
         let not_dead = self
             .members
@@ -301,206 +267,4 @@
             .filter(|member| member.state != MemberState::Dead);
         not_dead.map(|member| member.name.clone()).collect()
     }
-
-    fn drive_probe(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        let Some(probe) = &mut self.probe else {
-            return;
-        };
-        let waited = now.since(probe.sent);
-        if waited >= self.parameters.probe_period {
-            let target = probe.target.clone();
-            self.probe = None;
-            self.suspect(&target, now, outputs);
-            return;
-        }
-        if waited < self.parameters.direct_timeout || probe.indirect_sent {
-            return;
-        }
-        probe.indirect_sent = true;
-        let sequence = probe.sequence;
-        let target = probe.target.clone();
-        self.ask_others(sequence, &target, outputs);
-    }
-
-    fn ask_others(&mut self, sequence: u64, target: &NodeName, outputs: &mut Vec<Output>) {
-        let helpers: Vec<&Member> = self
-            .members
-            .values()
-            .filter(|member| member.takes_work() && member.name != *target)
-            .collect();
-        let chosen = helpers.choose_multiple(&mut self.random, self.parameters.indirect_probes);
-        for helper in chosen {
-            let target = target.clone();
-            let request = Message::PingRequest { sequence, target };
-            outputs.push(Output::Send(helper.name.clone(), helper.address, request));
-        }
-    }
-
-    fn forward_probe(
-        &mut self,
-        requester: &NodeName,
-        requester_sequence: u64,
-        target: &NodeName,
-        now: Timestamp,
-        outputs: &mut Vec<Output>,
-    ) {
-        let Some(address) = self.members.get(target).map(|member| member.address) else {
-            return;
-        };
-        let sequence = self.next_sequence();
-        let forwarded = Forwarded {
-            requester: requester.clone(),
-            requester_sequence,
-            expires: now + self.parameters.probe_period,
-        };
-        self.forwarded.insert(sequence, forwarded);
-        let updates = Vec::new();
-        let ping = Message::Ping { sequence, updates };
-        outputs.push(Output::Send(target.clone(), address, ping));
-    }
-
-    fn acknowledge(&mut self, sequence: u64, outputs: &mut Vec<Output>) {
-        if self
-            .probe
-            .as_ref()
-            .is_some_and(|probe| probe.sequence == sequence)
-        {
-            self.probe = None;
-        }
-        let Some(forwarded) = self.forwarded.remove(&sequence) else {
-            return;
-        };
-        let Some(requester) = self.members.get(&forwarded.requester) else {
-            return;
-        };
-        let ack = Message::Ack {
-            sequence: forwarded.requester_sequence,
-            updates: Vec::new(),
-        };
-        outputs.push(Output::Send(requester.name.clone(), requester.address, ack));
-    }
-
-    fn suspect(&mut self, name: &NodeName, now: Timestamp, outputs: &mut Vec<Output>) {
-        let Some(member) = self.members.get(name) else {
-            return;
-        };
-        let mut suspected = member.clone();
-        suspected.state = MemberState::Suspect;
-        let address = suspected.address;
-        self.merge(suspected, now, outputs);
-        // Told at once, a member that is alive has the whole time to refute.
-        let mut updates = Vec::new();
-        self.add_doubt_about(name, &mut updates);
-        let sequence = self.next_sequence();
-        let ping = Message::Ping { sequence, updates };
-        outputs.push(Output::Send(name.clone(), address, ping));
-    }
-
-    fn expire_suspects(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        let mut died = Vec::new();
-        let mut forgotten = BTreeSet::new();
-        for member in self.members.values() {
-            let since = self.state_since.get(&member.name).copied();
-            let age = now.since(since.unwrap_or(now));
-            if member.state == MemberState::Suspect && age >= self.parameters.suspicion_timeout {
-                let mut dead = member.clone();
-                dead.state = MemberState::Dead;
-                died.push(dead);
-            }
-            if member.state == MemberState::Dead && age >= self.parameters.forget_after {
-                forgotten.insert(member.name.clone());
-            }
-        }
-        for dead in died {
-            self.merge(dead, now, outputs);
-        }
-        for name in forgotten {
-            self.members.remove(&name);
-            self.state_since.remove(&name);
-        }
-    }
-
-    fn probe_dead(&mut self, outputs: &mut Vec<Output>) {
-        let dead: Vec<&Member> = self
-            .members
-            .values()
-            .filter(|member| member.state == MemberState::Dead)
-            .collect();
-        let Some(member) = dead.choose(&mut self.random).copied().cloned() else {
-            return;
-        };
-        let sequence = self.next_sequence();
-        let updates = vec![member.clone()];
-        let ping = Message::Ping { sequence, updates };
-        outputs.push(Output::Send(member.name, member.address, ping));
-    }
-
-    /// Exchanges whole lists with a random member, or with all seeds while
-    /// none is known.
-    fn start_sync(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        let members = self.everyone();
-        let live: Vec<&Member> = self
-            .members
-            .values()
-            .filter(|member| member.state <= MemberState::Leaving)
-            .collect();
-        if let Some(peer) = live.choose(&mut self.random).filter(|_| self.synchronised) {
-            let jitter = self.random.random_range(0.75..1.25);
-            self.next_sync = now + self.parameters.sync_period.mul_f64(jitter);
-            let request = Message::SyncRequest { members };
-            outputs.push(Output::Send(peer.name.clone(), peer.address, request));
-            return;
-        }
-        self.next_sync = now + self.parameters.probe_period;
-        for seed in &self.seeds {
-            let members = members.clone();
-            let request = Message::SyncRequest { members };
-            let name = NodeName::new(seed.to_string());
-            outputs.push(Output::Send(name, *seed, request));
-        }
-    }
-
-    fn merge_all(&mut self, updates: Vec<Update>, now: Timestamp, outputs: &mut Vec<Output>) {
-        for update in updates {
-            self.merge(update, now, outputs);
-        }
-    }
-
-    /// Takes in news of one member if it is newer than what is known.
-    fn merge(&mut self, update: Update, now: Timestamp, outputs: &mut Vec<Output>) {
-        if update.name == self.myself.name {
-            self.refute(&update);
-            return;
-        }
-        match self.members.get(&update.name) {
-            Some(known) if !known.is_superseded_by(&update) => return,
-            None if update.state == MemberState::Dead => return,
-            _ => {}
-        }
-        let name = update.name.clone();
-        let changed = self.members.get(&name).is_none_or(|known| {
-            known.state != update.state
-                || known.instance != update.instance
-                || known.address != update.address
-        });
-        self.members.insert(name.clone(), update.clone());
-        self.broadcasts.push(update);
-        if changed {
-            self.state_since.insert(name.clone(), now);
-            outputs.push(Output::Changed(name));
-        }
-    }
-
-    /// Raises this node's incarnation above news that it is not what it is.
-    fn refute(&mut self, update: &Update) {
-        let same = update.state == self.myself.state && update.instance == self.myself.instance;
-        if update.incarnation < self.myself.incarnation {
-            return;
-        }
-        if same && update.incarnation == self.myself.incarnation {
-            return;
-        }
-        self.myself.incarnation = update.incarnation + 1;
-        self.broadcasts.push(self.myself.clone());
-    }
 }
--- /dev/null
+++ b/standalone/membership/src/detector/probes.rs
@@ -0,0 +1,142 @@
+//! Probes: direct, indirect, and of members believed dead.
+
+use super::{Forwarded, Membership, Output, Probe};
+use crate::member::{Member, MemberState, Message};
+use brasspond_types::{NodeName, Timestamp};
+use rand::seq::{IndexedRandom, SliceRandom};
+
+impl Membership {
+    pub(super) fn start_probe(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
+        let Some(target) = self.next_target() else {
+            return;
+        };
+        let Some(member) = self.members.get(&target) else {
+            return;
+        };
+        let address = member.address;
+        let sequence = self.next_sequence();
+        let mut updates = self.take_updates();
+        self.add_doubt_about(&target, &mut updates);
+        let ping = Message::Ping { sequence, updates };
+        outputs.push(Output::Send(target.clone(), address, ping));
+        self.probe = Some(Probe {
+            sequence,
+            target,
+            sent: now,
+            indirect_sent: false,
+        });
+    }
+
+    /// The next member in a shuffled round over all that are not dead.
+    pub(super) fn next_target(&mut self) -> Option<NodeName> {
+        loop {
+            if self.probe_order.is_empty() {
+                self.probe_order = self.names_not_dead();
+                self.probe_order.shuffle(&mut self.random);
+            }
+            let name = self.probe_order.pop()?;
+            let member = self.members.get(&name);
+            if member.is_some_and(|member| member.state != MemberState::Dead) {
+                return Some(name);
+            }
+        }
+    }
+
+    pub(super) fn drive_probe(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
+        let Some(probe) = &mut self.probe else {
+            return;
+        };
+        let waited = now.since(probe.sent);
+        if waited >= self.parameters.probe_period {
+            let target = probe.target.clone();
+            self.probe = None;
+            self.suspect(&target, now, outputs);
+            return;
+        }
+        if waited < self.parameters.direct_timeout || probe.indirect_sent {
+            return;
+        }
+        probe.indirect_sent = true;
+        let sequence = probe.sequence;
+        let target = probe.target.clone();
+        self.ask_others(sequence, &target, outputs);
+    }
+
+    pub(super) fn ask_others(
+        &mut self,
+        sequence: u64,
+        target: &NodeName,
+        outputs: &mut Vec<Output>,
+    ) {
+        let helpers: Vec<&Member> = self
+            .members
+            .values()
+            .filter(|member| member.takes_work() && member.name != *target)
+            .collect();
+        let chosen = helpers.choose_multiple(&mut self.random, self.parameters.indirect_probes);
+        for helper in chosen {
+            let target = target.clone();
+            let request = Message::PingRequest { sequence, target };
+            outputs.push(Output::Send(helper.name.clone(), helper.address, request));
+        }
+    }
+
+    pub(super) fn forward_probe(
+        &mut self,
+        requester: &NodeName,
+        requester_sequence: u64,
+        target: &NodeName,
+        now: Timestamp,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(address) = self.members.get(target).map(|member| member.address) else {
+            return;
+        };
+        let sequence = self.next_sequence();
+        let forwarded = Forwarded {
+            requester: requester.clone(),
+            requester_sequence,
+            expires: now + self.parameters.probe_period,
+        };
+        self.forwarded.insert(sequence, forwarded);
+        let updates = Vec::new();
+        let ping = Message::Ping { sequence, updates };
+        outputs.push(Output::Send(target.clone(), address, ping));
+    }
+
+    pub(super) fn acknowledge(&mut self, sequence: u64, outputs: &mut Vec<Output>) {
+        if self
+            .probe
+            .as_ref()
+            .is_some_and(|probe| probe.sequence == sequence)
+        {
+            self.probe = None;
+        }
+        let Some(forwarded) = self.forwarded.remove(&sequence) else {
+            return;
+        };
+        let Some(requester) = self.members.get(&forwarded.requester) else {
+            return;
+        };
+        let ack = Message::Ack {
+            sequence: forwarded.requester_sequence,
+            updates: Vec::new(),
+        };
+        outputs.push(Output::Send(requester.name.clone(), requester.address, ack));
+    }
+
+    pub(super) fn probe_dead(&mut self, outputs: &mut Vec<Output>) {
+        let dead: Vec<&Member> = self
+            .members
+            .values()
+            .filter(|member| member.state == MemberState::Dead)
+            .collect();
+        let Some(member) = dead.choose(&mut self.random).copied().cloned() else {
+            return;
+        };
+        let sequence = self.next_sequence();
+        let updates = vec![member.clone()];
+        let ping = Message::Ping { sequence, updates };
+        outputs.push(Output::Send(member.name, member.address, ping));
+    }
+}
--- /dev/null
+++ b/standalone/membership/src/detector/updates.rs
@@ -0,0 +1,124 @@
+//! Updates of the view: suspicion, refutation, synchronisation with another member.
+
+use super::{Membership, Output};
+use crate::member::{Member, MemberState, Message, Update};
+use brasspond_types::{NodeName, Timestamp};
+use rand::Rng;
+use rand::seq::IndexedRandom;
+use std::collections::BTreeSet;
+
+impl Membership {
+    pub(super) fn suspect(&mut self, name: &NodeName, now: Timestamp, outputs: &mut Vec<Output>) {
+        let Some(member) = self.members.get(name) else {
+            return;
+        };
+        let mut suspected = member.clone();
+        suspected.state = MemberState::Suspect;
+        let address = suspected.address;
+        self.merge(suspected, now, outputs);
+        // Told at once, a member that is alive has the whole time to refute.
+        let mut updates = Vec::new();
+        self.add_doubt_about(name, &mut updates);
+        let sequence = self.next_sequence();
+        let ping = Message::Ping { sequence, updates };
+        outputs.push(Output::Send(name.clone(), address, ping));
+    }
+
+    pub(super) fn expire_suspects(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
+        let mut died = Vec::new();
+        let mut forgotten = BTreeSet::new();
+        for member in self.members.values() {
+            let since = self.state_since.get(&member.name).copied();
+            let age = now.since(since.unwrap_or(now));
+            if member.state == MemberState::Suspect && age >= self.parameters.suspicion_timeout {
+                let mut dead = member.clone();
+                dead.state = MemberState::Dead;
+                died.push(dead);
+            }
+            if member.state == MemberState::Dead && age >= self.parameters.forget_after {
+                forgotten.insert(member.name.clone());
+            }
+        }
+        for dead in died {
+            self.merge(dead, now, outputs);
+        }
+        for name in forgotten {
+            self.members.remove(&name);
+            self.state_since.remove(&name);
+        }
+    }
+
+    /// Exchanges whole lists with a random member, or with all seeds while
+    /// none is known.
+    pub(super) fn start_sync(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
+        let members = self.everyone();
+        let live: Vec<&Member> = self
+            .members
+            .values()
+            .filter(|member| member.state <= MemberState::Leaving)
+            .collect();
+        if let Some(peer) = live.choose(&mut self.random).filter(|_| self.synchronised) {
+            let jitter = self.random.random_range(0.75..1.25);
+            self.next_sync = now + self.parameters.sync_period.mul_f64(jitter);
+            let request = Message::SyncRequest { members };
+            outputs.push(Output::Send(peer.name.clone(), peer.address, request));
+            return;
+        }
+        self.next_sync = now + self.parameters.probe_period;
+        for seed in &self.seeds {
+            let members = members.clone();
+            let request = Message::SyncRequest { members };
+            let name = NodeName::new(seed.to_string());
+            outputs.push(Output::Send(name, *seed, request));
+        }
+    }
+
+    pub(super) fn merge_all(
+        &mut self,
+        updates: Vec<Update>,
+        now: Timestamp,
+        outputs: &mut Vec<Output>,
+    ) {
+        for update in updates {
+            self.merge(update, now, outputs);
+        }
+    }
+
+    /// Takes in news of one member if it is newer than what is known.
+    pub(super) fn merge(&mut self, update: Update, now: Timestamp, outputs: &mut Vec<Output>) {
+        if update.name == self.myself.name {
+            self.refute(&update);
+            return;
+        }
+        match self.members.get(&update.name) {
+            Some(known) if !known.is_superseded_by(&update) => return,
+            None if update.state == MemberState::Dead => return,
+            _ => {}
+        }
+        let name = update.name.clone();
+        let changed = self.members.get(&name).is_none_or(|known| {
+            known.state != update.state
+                || known.instance != update.instance
+                || known.address != update.address
+        });
+        self.members.insert(name.clone(), update.clone());
+        self.broadcasts.push(update);
+        if changed {
+            self.state_since.insert(name.clone(), now);
+            outputs.push(Output::Changed(name));
+        }
+    }
+
+    /// Raises this node's incarnation above news that it is not what it is.
+    pub(super) fn refute(&mut self, update: &Update) {
+        let same = update.state == self.myself.state && update.instance == self.myself.instance;
+        if update.incarnation < self.myself.incarnation {
+            return;
+        }
+        if same && update.incarnation == self.myself.incarnation {
+            return;
+        }
+        self.myself.incarnation = update.incarnation + 1;
+        self.broadcasts.push(self.myself.clone());
+    }
+}
--- a/standalone/routing/src/lib.rs
+++ b/standalone/routing/src/lib.rs
@@ -10,14 +10,14 @@
 #![forbid(unsafe_code)]
 
 mod health;
+mod load;
 mod owner;
 mod placement;
 mod prefix;
 mod sent;
 
 pub use health::Health;
+pub use load::{EngineLoad, PoolLoad, SpeedEstimate};
 pub use owner::{assign_evenly, rank, rank_distinct_zones};
-pub use placement::{
-    EngineLoad, EngineTable, EngineView, Placement, PlacementRequest, PoolLoad, SpeedEstimate,
-};
+pub use placement::{EngineTable, EngineView, Placement, PlacementRequest};
 pub use prefix::{BLOCK_TOKENS, CacheEvent, estimate_tokens, prefix_hashes};
--- /dev/null
+++ b/standalone/routing/src/load.rs
@@ -0,0 +1,92 @@
+//! Load and speed of engines, and of many together.
+
+use serde::{Deserialize, Serialize};
+
+/// Load of an engine and its queue, as its owner last reported.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct EngineLoad {
+    /// Requests on the engine.
+    pub running: u32,
+    /// Requests the engine may run at a time.
+    pub limit: u32,
+    /// Requests in the owner's queue.
+    pub queued: u32,
+    /// Expected tokens of what waits and runs.
+    pub pending_tokens: f32,
+}
+
+/// Speed of an engine, for the cost formula.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SpeedEstimate {
+    /// Time of a decoding step with an empty batch, in microseconds.
+    pub step_base: f64,
+    /// Added time a sequence in the batch, in microseconds.
+    pub step_per_sequence: f64,
+    /// Time to prefill a token, in microseconds.
+    pub prefill_per_token: f64,
+}
+
+impl Default for SpeedEstimate {
+    fn default() -> Self {
+        Self {
+            step_base: 8_000.0,
+            step_per_sequence: 60.0,
+            prefill_per_token: 40.0,
+        }
+    }
+}
+
+/// Load of many engines together.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct PoolLoad {
+    /// Engines.
+    pub engines: u32,
+    /// Requests on them.
+    pub running: u32,
+    /// Requests they may run at a time.
+    pub limit: u32,
+    /// Requests in their queues.
+    pub queued: u32,
+    /// Expected tokens of what waits and runs.
+    pub pending_tokens: f32,
+}
+
+impl PoolLoad {
+    /// Adds the load of one engine.
+    pub fn add(&mut self, load: &EngineLoad) {
+        self.engines += 1;
+        self.running += load.running;
+        self.limit += load.limit;
+        self.queued += load.queued;
+        self.pending_tokens += load.pending_tokens;
+    }
+
+    /// Adds the load of other engines.
+    pub fn join(&mut self, other: &Self) {
+        self.engines += other.engines;
+        self.running += other.running;
+        self.limit += other.limit;
+        self.queued += other.queued;
+        self.pending_tokens += other.pending_tokens;
+    }
+
+    /// Mean of one engine.
+    pub(crate) fn mean(&self) -> MeanLoad {
+        let engines = f64::from(self.engines.max(1));
+        MeanLoad {
+            running: f64::from(self.running) / engines,
+            limit: (f64::from(self.limit) / engines).max(1.0),
+            queued: f64::from(self.queued) / engines,
+            pending_tokens: f64::from(self.pending_tokens) / engines,
+        }
+    }
+}
+
+/// Mean load of an engine: what is expected of one whose own load is unknown.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct MeanLoad {
+    pub(crate) pending_tokens: f64,
+    pub(crate) running: f64,
+    pub(crate) queued: f64,
+    pub(crate) limit: f64,
+}
--- a/standalone/routing/src/placement.rs
+++ b/standalone/routing/src/placement.rs
@@ -1,11 +1,11 @@
 //! Choice of an engine for one request.
 
 use crate::health::Health;
+use crate::load::{EngineLoad, MeanLoad, PoolLoad, SpeedEstimate};
 use crate::prefix::BLOCK_TOKENS;
 use crate::sent::SentPrefixes;
 use brasspond_types::{EngineName, ModelName, Timestamp, WeightVersion, ZoneName, stable_hash};
 use rand::Rng;
-use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -25,40 +25,6 @@
 /// since other nodes may have sent it there; not measured.
 const AFFINITY_HIT: f64 = 0.2;
 
-/// Load of an engine and its queue, as its owner last reported.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct EngineLoad {
-    /// Requests on the engine.
-    pub running: u32,
-    /// Requests the engine may run at a time.
-    pub limit: u32,
-    /// Requests in the owner's queue.
-    pub queued: u32,
-    /// Expected tokens of what waits and runs.
-    pub pending_tokens: f32,
-}
-
-/// Speed of an engine, for the cost formula.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SpeedEstimate {
-    /// Time of a decoding step with an empty batch, in microseconds.
-    pub step_base: f64,
-    /// Added time a sequence in the batch, in microseconds.
-    pub step_per_sequence: f64,
-    /// Time to prefill a token, in microseconds.
-    pub prefill_per_token: f64,
-}
-
-impl Default for SpeedEstimate {
-    fn default() -> Self {
-        Self {
-            step_base: 8_000.0,
-            step_per_sequence: 60.0,
-            prefill_per_token: 40.0,
-        }
-    }
-}
-
 /// What a node knows of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineView {
@@ -137,61 +103,6 @@
     pub cost: f64,
 }
 
-/// Load of many engines together.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PoolLoad {
-    /// Engines.
-    pub engines: u32,
-    /// Requests on them.
-    pub running: u32,
-    /// Requests they may run at a time.
-    pub limit: u32,
-    /// Requests in their queues.
-    pub queued: u32,
-    /// Expected tokens of what waits and runs.
-    pub pending_tokens: f32,
-}
-
-impl PoolLoad {
-    /// Adds the load of one engine.
-    pub fn add(&mut self, load: &EngineLoad) {
-        self.engines += 1;
-        self.running += load.running;
-        self.limit += load.limit;
-        self.queued += load.queued;
-        self.pending_tokens += load.pending_tokens;
-    }
-
-    /// Adds the load of other engines.
-    pub fn join(&mut self, other: &Self) {
-        self.engines += other.engines;
-        self.running += other.running;
-        self.limit += other.limit;
-        self.queued += other.queued;
-        self.pending_tokens += other.pending_tokens;
-    }
-
-    /// Mean of one engine.
-    fn mean(&self) -> MeanLoad {
-        let engines = f64::from(self.engines.max(1));
-        MeanLoad {
-            running: f64::from(self.running) / engines,
-            limit: (f64::from(self.limit) / engines).max(1.0),
-            queued: f64::from(self.queued) / engines,
-            pending_tokens: f64::from(self.pending_tokens) / engines,
-        }
-    }
-}
-
-/// Mean load of an engine: what is expected of one whose own load is unknown.
-#[derive(Clone, Copy, Debug, Default)]
-struct MeanLoad {
-    pending_tokens: f64,
-    running: f64,
-    queued: f64,
-    limit: f64,
-}
-
 /// All engines known to a node.
 #[derive(Clone, Debug, Default)]
 pub struct EngineTable {
