--- a/crates/cluster/src/edge/item_run.rs
+++ b/crates/cluster/src/edge/item_run.rs
@@ -189,3 +189,7 @@
     }
     builder.body(Full::new(spec.body.clone())).ok()
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/item_run.rs"]
+mod tests;
