--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers saw, in the order of time.
+//! What callers saw, in the order in which it ended.
 
 use serde::Serialize;
 use std::sync::Mutex;
@@ -28,7 +28,7 @@
     Answered {
         /// Its status.
         status: u16,
-        /// It is the answer to this call: its body and its identity are.
+        /// Whether it is the answer to this call, by its id and its body.
         is_own: bool,
     },
     /// The connection ended before a whole answer.
@@ -42,13 +42,13 @@
 /// A call.
 #[derive(Clone, Debug, Serialize)]
 pub struct CallRecord {
-    /// Identity.
+    /// Its id.
     pub id: String,
     /// What it asks for.
     pub kind: Kind,
     /// The edge that was asked.
     pub edge: usize,
-    /// It went through a proxy that may harm it.
+    /// Whether it went through a proxy.
     pub is_proxied: bool,
     /// When its last byte was sent, in ms from the begin of the run.
     pub sent_at: u64,
@@ -65,7 +65,7 @@
     pub job: String,
     /// Position of the first result.
     pub since: usize,
-    /// Identity, state, text and versions of each.
+    /// The results, from that position on.
     pub results: Vec<ResultRecord>,
     /// When it was read, in ms from the begin of the run.
     pub at: u64,
@@ -74,7 +74,7 @@
 /// A result of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ResultRecord {
-    /// Identity of the item.
+    /// Id of the item.
     pub id: String,
     /// Whether its text is whole.
     pub is_completed: bool,
@@ -132,8 +132,8 @@
         at.saturating_duration_since(self.begun).as_millis() as u64
     }
 
-    /// Notes a call that ends a job.
-    pub fn note_end(&self, end: EndRecord) {
+    /// Records a call that ends a job.
+    pub fn record_end(&self, end: EndRecord) {
         self.ends.lock().expect("lock").push(end);
     }
 
@@ -142,13 +142,13 @@
         self.ends.lock().expect("lock").clone()
     }
 
-    /// Notes a call.
-    pub fn note_call(&self, call: CallRecord) {
+    /// Records a call.
+    pub fn record_call(&self, call: CallRecord) {
         self.calls.lock().expect("lock").push(call);
     }
 
-    /// Notes a page.
-    pub fn note_page(&self, page: PageRecord) {
+    /// Records a page.
+    pub fn record_page(&self, page: PageRecord) {
         self.pages.lock().expect("lock").push(page);
     }
 
--- a/crates/soak/src/jobs.rs
+++ b/crates/soak/src/jobs.rs
@@ -6,27 +6,27 @@
 
 /// Items of a job.
 pub const ITEMS: usize = 8;
-/// Sets the draw of jobs apart from those of faults.
+/// Random stream of jobs.
 const JOB_STREAM: u64 = 2;
-/// Part of the jobs that are ended early.
+/// Part of the jobs that are ended before all results are there.
 const ENDED_SHARE: f64 = 0.5;
 /// Times of an event of a job's texts, in ms: of 30 events, texts of 0.5, 2, 5.4 and 7.2 s.
 const EVENT_TIMES: [u64; 4] = [15, 70, 180, 240];
-/// Part of the items whose texts are as long as others of their job's are not.
+/// Part of the items whose texts have another length than most of their job.
 const OTHER_SHARE: f64 = 0.25;
-/// Time after which a job is ended in mid-text, in ms.
+/// Time after its submission at which a job is ended while texts are made, in ms.
 const MID_TEXT: std::ops::Range<u64> = 200..4_500;
 /// Items that are listed when a job is ended late.
-const MOST: usize = ITEMS - 2;
+const LISTED_AT_END: usize = ITEMS - 2;
 /// Time after which an end is sent again, in ms.
 const AGAIN_AFTER: std::ops::Range<u64> = 50..3_000;
 
 /// When a caller ends its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndWhen {
-    /// As soon as it was taken.
+    /// As soon as it was accepted.
     AtOnce,
-    /// So many ms after it was taken.
+    /// So many ms after it was accepted.
     After(u64),
     /// Once so many items are listed.
     Listed(usize),
@@ -46,7 +46,7 @@
 /// A job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobPlan {
-    /// Identity.
+    /// Its id.
     pub id: String,
     /// Items.
     pub items: Vec<JobItem>,
@@ -59,7 +59,7 @@
     pub fn draw(seed: u64, step: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         random.set_stream(JOB_STREAM);
-        // Each step's draw is its own, however many numbers the one before took.
+        // A generator of its own for each step, however many numbers an earlier step drew.
         let mut random = ChaCha8Rng::seed_from_u64(random.random::<u64>().wrapping_add(step));
         let id = format!("job-{step}");
         let usual_ms = draw_event_ms(&mut random);
@@ -82,7 +82,7 @@
     fn draw(random: &mut ChaCha8Rng) -> Self {
         let when = match random.random_range(0..5) {
             0 => EndWhen::AtOnce,
-            1 => EndWhen::Listed(MOST),
+            1 => EndWhen::Listed(LISTED_AT_END),
             _ => EndWhen::After(random.random_range(MID_TEXT)),
         };
         let times = random.random_range(0..3);
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -10,6 +10,9 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
+/// Storage machines of the smallest cluster: a quorum survives the loss of one.
+const FEWEST_STORAGE: u8 = 3;
+
 /// Plays faults against the real program, which lies beside this one, and judges what callers,
 /// replicas and the store see. Exit code 0 only if no promise was broken.
 #[derive(Clone, Debug, Bpaf)]
@@ -45,12 +48,12 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let options = options().run();
-    // Where it is interrupted, what it started ends with what is dropped here.
-    let told = tokio::select! {
-        told = run(&options) => told,
+    // An interruption drops the run, and with it all processes that it started.
+    let result = tokio::select! {
+        result = run(&options) => result,
         () = interrupted() => Err(std::io::Error::other("interrupted")),
     };
-    match told {
+    match result {
         Ok(0) => ExitCode::SUCCESS,
         Ok(broken) => {
             println!("{broken} runs broke a promise");
@@ -63,7 +66,7 @@
     }
 }
 
-/// Waits until this program is told to stop.
+/// Waits for SIGTERM or SIGINT. Where SIGTERM cannot be waited for, the run ends at once.
 async fn interrupted() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
@@ -87,7 +90,7 @@
         let extent = Extent {
             length: options.seconds * 1_000,
             edges: options.edges,
-            storage: options.storage.max(3),
+            storage: options.storage.max(FEWEST_STORAGE),
             rebirths: options.rebirths,
         };
         let schedule = Schedule::draw(seed, extent);
--- /dev/null
+++ b/crates/soak/src/play/starting.rs
@@ -0,0 +1,160 @@
+//! The start of a run: platform, cluster, proxies, callers.
+
+use super::{Peak, Run, StoreProxies};
+use crate::callers::{Callers, Connections, ENDS, EdgeAddress};
+use crate::history::History;
+use crate::proxy::Proxy;
+use crate::schedule::{Schedule, is_behind_proxy};
+use brasspond_platform_standin::ending::EndingReplica;
+use brasspond_platform_standin::processes::{Cluster, Deployment, Size, configuration, parted};
+use brasspond_platform_standin::{Store, StoreAddresses};
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicBool, AtomicU64};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// Callers at each address, by how they use connections.
+const CALLERS: [Connections; 2] = [Connections::Kept, Connections::New];
+/// Time from the start of the cluster until callers start, in which edges learn of the replicas.
+const FIRST_CALM: Duration = Duration::from_secs(1);
+
+impl Run {
+    /// Starts the platform, the cluster, the proxies and the callers.
+    pub(super) async fn start(schedule: &Schedule) -> std::io::Result<Self> {
+        let (store, addresses) = Store::start().await;
+        let store_proxies = StoreProxies {
+            edges: Proxy::start(addresses.edges).await?,
+            storage: Proxy::start(addresses.storage).await?,
+        };
+        let cluster = start_cluster(schedule, store, &store_proxies).await;
+        let replicas = Replicas::start(&cluster.store, schedule.replicas).await?;
+        // Only replicas whose runs are counted may serve: those of the stand-in go.
+        for id in ["plain-0", "engine-0", "engine-1"] {
+            cluster.store.remove("servers", id);
+        }
+        let (edge_proxies, edges) = start_edge_proxies(&cluster).await?;
+        tokio::time::sleep(FIRST_CALM).await;
+        let callers = start_callers(edges, schedule.seed);
+        Ok(Self {
+            schedule: schedule.clone(),
+            cluster,
+            plain: replicas.plain,
+            engines: replicas.engines,
+            edge_proxies,
+            plain_proxies: replicas.plain_proxies,
+            engine_proxies: replicas.engine_proxies,
+            store_proxies,
+            callers,
+            written: Vec::new(),
+            new_routes: Arc::default(),
+            peak: Peak::default(),
+            away: Vec::new(),
+            rolling: Vec::new(),
+            ended_alone: Vec::new(),
+            last_leader: 0,
+        })
+    }
+}
+
+/// Starts the cluster, whose store is reached through proxies.
+async fn start_cluster(schedule: &Schedule, store: Arc<Store>, proxies: &StoreProxies) -> Cluster {
+    let proxied = StoreAddresses {
+        edges: proxies.edges.address,
+        storage: proxies.storage.address,
+    };
+    let size = Size {
+        edges: schedule.edges,
+        storage: schedule.storage,
+    };
+    let deployment = Deployment {
+        region_of: Some(parted),
+        ..Deployment::default()
+    };
+    Cluster::start_deployed(configuration(1), store, proxied, size, deployment).await
+}
+
+/// Replicas of both services, with the proxies before some of them by their places.
+#[derive(Default)]
+struct Replicas {
+    plain: Vec<Arc<EndingReplica>>,
+    engines: Vec<Arc<EndingReplica>>,
+    plain_proxies: BTreeMap<usize, Proxy>,
+    engine_proxies: BTreeMap<usize, Proxy>,
+}
+
+impl Replicas {
+    async fn start(store: &Arc<Store>, count: usize) -> std::io::Result<Self> {
+        let mut all = Self::default();
+        for number in 0..count {
+            let (replica, proxy) = start_replica(store, "plain", number).await?;
+            all.plain.push(replica);
+            all.plain_proxies.extend(proxy.map(|proxy| (number, proxy)));
+            let (replica, proxy) = start_replica(store, "engines", number).await?;
+            all.engines.push(replica);
+            all.engine_proxies
+                .extend(proxy.map(|proxy| (number, proxy)));
+        }
+        Ok(all)
+    }
+}
+
+/// Starts a proxy before each edge; returns them with all addresses of edges.
+async fn start_edge_proxies(cluster: &Cluster) -> std::io::Result<(Vec<Proxy>, Vec<EdgeAddress>)> {
+    let mut proxies = Vec::new();
+    let mut edges = Vec::new();
+    for (edge, machine) in cluster.edges.iter().enumerate() {
+        let proxy = Proxy::start(machine.front).await?;
+        edges.push(EdgeAddress {
+            edge,
+            address: machine.front,
+            is_proxied: false,
+        });
+        edges.push(EdgeAddress {
+            edge,
+            address: proxy.address,
+            is_proxied: true,
+        });
+        proxies.push(proxy);
+    }
+    Ok((proxies, edges))
+}
+
+/// Starts callers at each address, a trainer, and one that asks for the content that ends replicas.
+fn start_callers(edges: Vec<EdgeAddress>, seed: u64) -> Arc<Callers> {
+    let callers = Arc::new(Callers {
+        history: Arc::new(History::default()),
+        edges,
+        is_over: AtomicBool::new(false),
+        is_calm: AtomicBool::new(false),
+        next: AtomicU64::new(1),
+        newest_version: AtomicU64::new(1),
+        seed,
+        jobs: Mutex::default(),
+    });
+    for to in callers.edges.clone() {
+        for connections in CALLERS {
+            tokio::spawn(Arc::clone(&callers).run_caller(to, connections));
+        }
+    }
+    tokio::spawn(Arc::clone(&callers).run_trainer());
+    tokio::spawn(Arc::clone(&callers).run_ending());
+    callers
+}
+
+/// Starts a replica of a service, some behind proxies.
+async fn start_replica(
+    store: &Arc<Store>,
+    service: &'static str,
+    number: usize,
+) -> std::io::Result<(Arc<EndingReplica>, Option<Proxy>)> {
+    let name = format!("soak-{service}-{number}");
+    let listener = EndingReplica::listen().await;
+    let address = listener.local_addr()?;
+    let proxy = match is_behind_proxy(number) {
+        true => Some(Proxy::start(address).await?),
+        false => None,
+    };
+    let reached_at = proxy.as_ref().map_or(address, |proxy| proxy.address);
+    let replica = EndingReplica::start_at(store, service, &name, ENDS, listener, reached_at);
+    Ok((replica, proxy))
+}
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,7 +1,7 @@
-//! A proxy between two parties on loopback addresses, which harms what passes through it.
+//! A proxy on loopback addresses that harms the bytes that pass through it.
 //!
-//! It listens only while its target does, so that the end of a process is seen at its proxy's
-//! address too.
+//! It listens only while its target does, so that the end of a process is seen at the address of
+//! its proxy too.
 
 use crate::schedule::Harm;
 use std::net::SocketAddr;
@@ -9,34 +9,38 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
 /// Bytes passed on at a time.
 const PIECE: usize = 16 * 1024;
-/// Bytes passed on at a time where they trickle, and the pause between.
+/// Bytes passed on at a time where they trickle.
 const SMALL_PIECE: usize = 64;
+/// Pause between two such pieces.
 const TRICKLE_PAUSE: Duration = Duration::from_millis(5);
-/// Pause between two looks whether a cut is over, or a target is back.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
-/// Times after the break of a connection at which its target is looked at: a process that ends
-/// closes its connections a moment before its listener.
-const BREAK_LOOKS: [Duration; 3] = [
+/// Pause between two probes whether a cut is over, or a target is back.
+const PROBE_PAUSE: Duration = Duration::from_millis(20);
+/// Pauses before the probes of a target after a connection to it broke: a process that ends closes
+/// its connections a moment before its listener.
+const BREAK_PROBES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(5),
     Duration::from_millis(30),
 ];
-/// An address of its own, from which nothing connects: its port stays free while it does not
-/// listen.
+/// An address from which nothing connects, so that the port stays free while nothing listens.
 const LISTENS_AT: &str = "127.0.2.2:0";
 
-/// What is done to connections at present, and what was done to those that were open.
+/// Harm to connections.
 #[derive(Debug, Default)]
 struct State {
+    /// Harm at present.
     harm: Mutex<Option<Harm>>,
+    /// How often all open connections were reset.
     resets: AtomicU64,
+    /// How often all open connections were silenced.
     silences: AtomicU64,
-    /// Nothing listens at the target.
+    /// Wakes the listener once nothing listens at the target.
     gone: Notify,
 }
 
@@ -48,7 +52,7 @@
     state: Arc<State>,
 }
 
-/// Which way bytes go.
+/// Direction of bytes: to the target, or back from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
     There,
@@ -59,7 +63,7 @@
     /// Starts one before an address.
     ///
     /// # Errors
-    /// No port is to be had.
+    /// There is no free port.
     pub async fn start(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(LISTENS_AT).await?;
         let address = listener.local_addr()?;
@@ -95,9 +99,16 @@
     fn harm(&self) -> Option<Harm> {
         *self.harm.lock().expect("lock")
     }
+
+    /// Waits until this is not the present harm.
+    async fn wait_while(&self, harm: Harm) {
+        while self.harm() == Some(harm) {
+            tokio::time::sleep(PROBE_PAUSE).await;
+        }
+    }
 }
 
-/// Takes connections while the target listens.
+/// Accepts connections while the target listens.
 async fn listen(
     mut listener: TcpListener,
     address: SocketAddr,
@@ -125,13 +136,13 @@
         {
             return listener;
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(PROBE_PAUSE).await;
     }
 }
 
-/// Looks whether the target still listens, after a connection to it broke.
-async fn look_after_break(target: SocketAddr, state: Arc<State>) {
-    for pause in BREAK_LOOKS {
+/// Probes whether the target still listens, after a connection to it broke.
+async fn probe_after_break(target: SocketAddr, state: Arc<State>) {
+    for pause in BREAK_PROBES {
         tokio::time::sleep(pause).await;
         if TcpStream::connect(target).await.is_err() {
             state.gone.notify_one();
@@ -140,6 +151,7 @@
     }
 }
 
+/// Passes one connection on to the target, until either side closes it or it is reset.
 async fn pass(near: TcpStream, target: SocketAddr, state: Arc<State>) {
     let Ok(far) = TcpStream::connect(target).await else {
         state.gone.notify_one();
@@ -159,14 +171,14 @@
     let back = copy(far_read, near_write, Direction::Back, &state, opened);
     let is_reset = async {
         while state.resets.load(Ordering::Relaxed) == opened.resets {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(PROBE_PAUSE).await;
         }
     };
     // Either end closes both ways, as a reset does.
     tokio::select! {
         () = there => {}
         () = back => {
-            tokio::spawn(look_after_break(target, Arc::clone(&state)));
+            tokio::spawn(probe_after_break(target, Arc::clone(&state)));
         }
         () = is_reset => {}
     }
@@ -179,9 +191,10 @@
     silences: u64,
 }
 
+/// Passes bytes on in one direction until a side closes the connection, or harm ends it.
 async fn copy(
-    mut from: tokio::net::tcp::OwnedReadHalf,
-    mut to: tokio::net::tcp::OwnedWriteHalf,
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
     direction: Direction,
     state: &State,
     opened: Opened,
@@ -195,43 +208,53 @@
         if state.silences.load(Ordering::Relaxed) != opened.silences {
             std::future::pending::<()>().await;
         }
-        let mut bytes = &buffer[..read];
-        match state.harm() {
-            Some(Harm::CutThere) if direction == Direction::There => {
-                while state.harm() == Some(Harm::CutThere) {
-                    tokio::time::sleep(LOOK_PAUSE).await;
-                }
-                // What was cut is lost, and so is the connection: nothing comes late.
-                return;
-            }
-            Some(Harm::Delay(ms)) => tokio::time::sleep(Duration::from_millis(ms)).await,
-            Some(Harm::CutBack) if direction == Direction::Back => {
-                while state.harm() == Some(Harm::CutBack) {
-                    tokio::time::sleep(LOOK_PAUSE).await;
-                }
-            }
-            Some(Harm::Trickle) => {
-                while bytes.len() > SMALL_PIECE && state.harm() == Some(Harm::Trickle) {
-                    if to.write_all(&bytes[..SMALL_PIECE]).await.is_err() {
-                        return;
-                    }
-                    bytes = &bytes[SMALL_PIECE..];
-                    tokio::time::sleep(TRICKLE_PAUSE).await;
-                }
-            }
-            Some(Harm::CutAfter(most)) if direction == Direction::Back => {
-                let left = most.saturating_sub(passed);
-                if (bytes.len() as u64) > left {
-                    // What was cut is lost, and so is the connection.
-                    let _ = to.write_all(&bytes[..left as usize]).await;
-                    return;
-                }
+        let bytes = &buffer[..read];
+        if pass_piece(bytes, passed, &mut to, direction, state)
+            .await
+            .is_none()
+        {
+            return;
+        }
+        passed += read as u64;
+    }
+}
+
+/// Passes one piece on under the present harm, `passed` bytes after the connection's first; none:
+/// the connection is to end.
+async fn pass_piece(
+    bytes: &[u8],
+    passed: u64,
+    to: &mut OwnedWriteHalf,
+    direction: Direction,
+    state: &State,
+) -> Option<()> {
+    let mut bytes = bytes;
+    match state.harm() {
+        Some(Harm::CutThere) if direction == Direction::There => {
+            state.wait_while(Harm::CutThere).await;
+            // What was cut is lost, and so is the connection: nothing comes late.
+            return None;
+        }
+        Some(Harm::Delay(ms)) => tokio::time::sleep(Duration::from_millis(ms)).await,
+        Some(Harm::CutBack) if direction == Direction::Back => {
+            state.wait_while(Harm::CutBack).await;
+        }
+        Some(Harm::Trickle) => {
+            while bytes.len() > SMALL_PIECE && state.harm() == Some(Harm::Trickle) {
+                to.write_all(&bytes[..SMALL_PIECE]).await.ok()?;
+                bytes = &bytes[SMALL_PIECE..];
+                tokio::time::sleep(TRICKLE_PAUSE).await;
             }
-            _ => {}
         }
-        passed += bytes.len() as u64;
-        if to.write_all(bytes).await.is_err() {
-            return;
+        Some(Harm::CutAfter(most)) if direction == Direction::Back => {
+            let left = most.saturating_sub(passed);
+            if (bytes.len() as u64) > left {
+                // The rest is lost, and so is the connection, whether this arrives or not.
+                let _ = to.write_all(&bytes[..left as usize]).await;
+                return None;
+            }
         }
+        _ => {}
     }
+    to.write_all(bytes).await.ok()
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run is reported as: JSON for programs, HTML with a timeline for people.
+//! Reports of a run: JSON for programs, HTML with a timeline for people.
 
 use crate::checks::{Broken, Seen};
 use crate::history::Outcome;
@@ -8,8 +8,10 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Height of the figure of a second in the timeline, in pixels.
+/// Height of the bar of the busiest second in the timeline, in pixels.
 const HEIGHT: usize = 60;
+/// Height of the line of a fault below the timeline, in pixels.
+const FAULT_HEIGHT: usize = 14;
 /// Width of a second in the timeline, in pixels.
 const WIDTH: usize = 12;
 
@@ -22,7 +24,7 @@
     pub broken: Vec<Broken>,
     /// Seconds of the run.
     pub seconds: Vec<Second>,
-    /// What it took.
+    /// The most processes and memory at a time.
     pub peak: Peak,
     /// Jobs handed in, and results read.
     pub jobs: usize,
@@ -86,6 +88,7 @@
         std::fs::write(folder.join("report.html"), self.html())
     }
 
+    /// The page for people. Writing to a string does not fail.
     fn html(&self) -> String {
         let mut page = String::from("<!doctype html><meta charset=utf-8><title>soak</title>\n");
         let _ = writeln!(
@@ -112,11 +115,12 @@
         page
     }
 
-    /// Served requests a second as bars, the others above them, faults as lines below.
+    /// Writes a bar for each second, served calls below and others above, and a line for each
+    /// fault. Writing to a string does not fail.
     fn timeline(&self, page: &mut String) {
         let most = self.seconds.iter().map(|one| one.served + one.others);
         let most = most.max().unwrap_or(1).max(1);
-        let height = HEIGHT + 14 * self.schedule.faults.len() + 20;
+        let height = HEIGHT + FAULT_HEIGHT * self.schedule.faults.len() + 20;
         let width = WIDTH * self.seconds.len() + 300;
         let _ = writeln!(page, "<svg width={width} height={height}>");
         for (number, second) in self.seconds.iter().enumerate() {
@@ -135,7 +139,7 @@
             );
         }
         for (number, fault) in self.schedule.faults.iter().enumerate() {
-            let y = HEIGHT + 14 * (number + 1);
+            let y = HEIGHT + FAULT_HEIGHT * (number + 1);
             let left = fault.at as usize * WIDTH / 1_000;
             let long = (fault.lasting as usize * WIDTH / 1_000).max(2);
             let _ = writeln!(
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -139,7 +139,7 @@
 }
 
 #[rstest]
-fn a_good_run_breaks_nothing() {
+fn good_run_breaks_no_promise() {
     assert_eq!(names(&good(), &[]), BTreeSet::new());
 }
 
@@ -238,7 +238,7 @@
 #[case::a_process_ended("processes_run", |seen: &mut Seen| {
     seen.ended_alone.push("edge-4".to_string());
 })]
-fn a_broken_promise_is_found(#[case] expected: &'static str, #[case] spoil: fn(&mut Seen)) {
+fn broken_promise_is_found(#[case] expected: &'static str, #[case] spoil: fn(&mut Seen)) {
     let mut seen = good();
     spoil(&mut seen);
     assert_eq!(names(&seen, &[]), BTreeSet::from([expected]));
@@ -252,7 +252,7 @@
 #[case::all_told_in_turn(Trouble::Roll, true)]
 #[case::its_region_cut_off(Trouble::CutRegion(Region::South), false)]
 #[case::the_other_region_cut_off(Trouble::CutRegion(Region::North), true)]
-fn cuts_are_excused_by_what_may_cut(#[case] trouble: Trouble, #[case] is_found: bool) {
+fn only_faults_that_may_cut_excuse_a_cut(#[case] trouble: Trouble, #[case] is_found: bool) {
     let mut seen = good();
     seen.calls
         .push(call("late", Kind::Read, 9_000, Outcome::Broken));
@@ -267,7 +267,7 @@
 
 /// About half of the schedules lose a region once, and no disk near that time.
 #[rstest]
-fn regions_lose_one_another() {
+fn some_schedules_cut_regions_apart() {
     let extent = Extent {
         length: 60_000,
         edges: 3,
@@ -296,7 +296,7 @@
 
 /// Connections of replicas behind proxies are harmed, of no others.
 #[rstest]
-fn replicas_connections_are_harmed() {
+fn schedules_harm_connections_of_replicas() {
     let extent = Extent {
         length: 60_000,
         edges: 3,
@@ -354,7 +354,7 @@
 
 /// Rebirths are a kind of fault that can be left out, and change nothing else of a schedule.
 #[rstest]
-fn rebirths_are_drawn_where_they_are_asked_for() {
+fn rebirths_are_drawn_only_on_request() {
     let without = Extent {
         length: 60_000,
         edges: 3,
@@ -384,7 +384,7 @@
 
 /// A schedule is its seed's, and a file brings it back.
 #[rstest]
-fn a_schedule_is_drawn_from_its_seed() {
+fn same_seed_draws_the_same_schedule() {
     let extent = Extent {
         length: 120_000,
         edges: 5,
@@ -404,7 +404,7 @@
 
 /// Jobs are their seed's: of short and long texts, some ended at once, in mid-text, late.
 #[rstest]
-fn jobs_are_drawn_from_their_seed() {
+fn same_seed_draws_the_same_jobs() {
     let plans: Vec<JobPlan> = (0..200).map(|step| JobPlan::draw(7, step)).collect();
     let again: Vec<JobPlan> = (0..200).map(|step| JobPlan::draw(7, step)).collect();
     assert_eq!(plans, again);
@@ -426,7 +426,7 @@
 
 /// Schedules that are kept can be played.
 #[rstest]
-fn kept_schedules_are_schedules() {
+fn kept_schedules_can_be_read() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/seeds");
     let files = std::fs::read_dir(folder).expect("a folder");
     let paths = files.map(|file| file.expect("a file").path());
--- a/crates/soak/tests/proxy.rs
+++ b/crates/soak/tests/proxy.rs
@@ -82,7 +82,7 @@
 /// is back.
 #[rstest]
 #[tokio::test]
-async fn a_proxy_listens_while_its_target_does() {
+async fn proxy_listens_while_its_target_does() {
     let target = Target::start(AT).await;
     let address = target.address;
     let proxy = Proxy::start(address).await.expect("started");
@@ -121,7 +121,7 @@
 /// ones work again.
 #[rstest]
 #[tokio::test]
-async fn what_a_cut_takes_never_comes() {
+async fn bytes_lost_in_a_cut_never_arrive() {
     let target = Target::start(AT).await;
     let proxy = Proxy::start(target.address).await.expect("started");
     let mut open = TcpStream::connect(proxy.address).await.expect("connected");
--- a/crates/soak/tests/rebirth.rs
+++ b/crates/soak/tests/rebirth.rs
@@ -28,7 +28,7 @@
 /// It has the identity of before, a later start, and nothing else.
 #[rstest]
 #[tokio::test]
-async fn a_replica_is_born_again_under_its_identity() {
+async fn ended_replica_starts_again_under_its_id() {
     let replica = started().await;
     replica.end_and_keep_id();
     let lives = second_life(&replica).await;
@@ -46,7 +46,7 @@
 /// One that just ends is back as another.
 #[rstest]
 #[tokio::test]
-async fn a_replica_that_ends_is_back_as_another() {
+async fn ended_replica_starts_again_under_another_id() {
     let replica = started().await;
     replica.end();
     let lives = second_life(&replica).await;
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::path::PathBuf;
 
-async fn is_kept(schedule: &Schedule) {
+async fn play_and_check(schedule: &Schedule) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak");
     let folder = folder.join(format!(
         "seed-{}-{}-{}",
@@ -21,21 +21,21 @@
 #[rstest]
 #[case::mixed(1)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_schedule_breaks_no_promise(#[case] seed: u64) {
+async fn short_schedule_breaks_no_promise(#[case] seed: u64) {
     let extent = Extent {
         length: 52_000,
         edges: 3,
         storage: 3,
         rebirths: false,
     };
-    is_kept(&Schedule::draw(seed, extent)).await;
+    play_and_check(&Schedule::draw(seed, extent)).await;
 }
 
-/// What users saw: a call for a score ran seconds after its job's end. Each edge stood still, as
+/// A call for a score once ran seconds after its job's end. Each edge is suspended here, for as
 /// long as its leader takes to give it up, with orders to run items on their way to it.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn edges_that_stand_still_begin_nothing_for_ended_jobs() {
+async fn suspended_edges_begin_nothing_for_ended_jobs() {
     let schedule = include_str!("../seeds/standstills.json");
-    is_kept(&serde_json::from_str(schedule).expect("a schedule")).await;
+    play_and_check(&serde_json::from_str(schedule).expect("a schedule")).await;
 }
