--- a/crates/brasspond/src/client.rs
+++ b/crates/brasspond/src/client.rs
@@ -2,6 +2,7 @@
 
 use crate::exit::Outcome;
 use crate::options::{ApplyOptions, ClientOptions, Form, GetOptions, WatchOptions};
+use crate::runtime::single_threaded;
 use brasspond_http::{Client, read_json, request};
 use brasspond_resource::{API_VERSION, Kind, Object, object_to_json, parse_manifests};
 use hyper::header::{AUTHORIZATION, HeaderValue};
@@ -9,18 +10,21 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Longest answer read, in bytes.
+/// Longest answer that is read, in bytes. Not measured.
 const LONGEST_ANSWER: usize = 64 * 1024 * 1024;
-/// Time for an answer to come.
-const ANSWER_TIME: Duration = Duration::from_secs(40);
+/// Time for an answer, that of a held watch included. Not measured.
+const CALL_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Why a command failed.
 enum Problem {
+    /// The command line, a file or the request is invalid.
     Usage(Vec<String>),
+    /// It failed while running.
     Failed(String),
 }
 
 impl Problem {
+    /// Writes the problem to standard error; returns the program's outcome.
     fn report(self) -> Outcome {
         match self {
             Self::Usage(lines) => {
@@ -37,13 +41,14 @@
     }
 }
 
-/// A connection to a node.
+/// Calls to one node under one token.
 struct Session<'a> {
     options: &'a ClientOptions,
     client: Client,
     bearer: HeaderValue,
 }
 
+/// Reads the token, and runs a command's work with a session.
 fn with_session<'a, F>(options: &'a ClientOptions, work: impl FnOnce(Session<'a>) -> F) -> Outcome
 where
     F: Future<Output = Result<(), Problem>>,
@@ -59,15 +64,9 @@
         eprintln!("{}: not a token", options.token_file.display());
         return Outcome::Usage;
     };
-    let runtime = match tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-    {
+    let runtime = match single_threaded() {
         Ok(runtime) => runtime,
-        Err(error) => {
-            eprintln!("no runtime: {error}");
-            return Outcome::Failed;
-        }
+        Err(outcome) => return outcome,
     };
     let result = runtime.block_on(async {
         let client = Client::default();
@@ -85,6 +84,7 @@
 }
 
 impl Session<'_> {
+    /// Makes a call; an answer that is no success becomes a problem.
     async fn call(
         &self,
         method: Method,
@@ -104,7 +104,7 @@
             let body = body.map_err(|error| Problem::Failed(error.to_string()))?;
             Ok((status, body))
         };
-        let answer = tokio::time::timeout(ANSWER_TIME, exchange).await;
+        let answer = tokio::time::timeout(CALL_TIMEOUT, exchange).await;
         let (status, body) =
             answer.map_err(|_| Problem::Failed("no answer in time".to_owned()))??;
         if status.is_success() {
@@ -114,6 +114,7 @@
         }
     }
 
+    /// Prints an answer in the form that was asked for. A value of JSON can always be written.
     fn show(&self, value: &Value) {
         match self.options.output {
             Form::Json => println!(
@@ -131,6 +132,7 @@
     }
 }
 
+/// The problem that a node's refusal is.
 fn refused(status: StatusCode, body: &Value) -> Problem {
     let error = &body["error"];
     let message = error["message"].as_str().unwrap_or("refused").to_owned();
@@ -146,6 +148,7 @@
     Problem::Failed(lines.join("\n"))
 }
 
+/// A line of a table: kind, name, version, conditions, share.
 fn row(item: &Value) -> String {
     let text = |value: &Value| value.as_str().unwrap_or("").to_owned();
     let conditions = item["status"]["conditions"]
@@ -174,6 +177,7 @@
     columns.join("  ").trim_end().to_owned()
 }
 
+/// The kind of resource that a word names.
 fn kind_of(word: &str) -> Result<Kind, Problem> {
     let names: Vec<&str> = Kind::ALL.iter().map(|kind| kind.plural()).collect();
     let message = format!("no kind {word}; allowed: {}", names.join(", "));
@@ -218,8 +222,8 @@
     })
 }
 
-/// Writes one resource. A manifest that names no version replaces the version
-/// that is there now, so that a racing write is noticed and not overwritten.
+/// Writes one resource. A manifest without a version replaces the version that is there now, so
+/// that a concurrent write is refused and not overwritten.
 async fn apply_one(session: &Session<'_>, object: &Object, dry_run: bool) -> Result<(), Problem> {
     let key = object.key();
     let mut body = object_to_json(object);
--- a/crates/brasspond/src/logging.rs
+++ b/crates/brasspond/src/logging.rs
@@ -1,13 +1,16 @@
-//! Logs: one line of key=value pairs an event.
+//! Starts the log: one line of key=value pairs for each event.
 
 use brasspond_telemetry::{LogLimits, LogRing};
-use simplelog::{ConfigBuilder, LevelFilter, WriteLogger};
+use log::LevelFilter;
+use simplelog::{ConfigBuilder, WriteLogger};
 use std::io::Write;
 use std::path::Path;
 
 /// Begins to log to a file, or to standard error.
+///
+/// # Errors
+/// The file cannot be opened.
 pub(crate) fn start(level: &str, file: Option<&Path>) -> std::io::Result<()> {
-    let level = level.parse().unwrap_or(LevelFilter::Info);
     let target: Box<dyn Write + Send> = match file {
         Some(file) => {
             let mut options = std::fs::OpenOptions::new();
@@ -20,12 +23,31 @@
         .set_thread_level(LevelFilter::Off)
         .set_target_level(LevelFilter::Off)
         .build();
-    let _ = WriteLogger::init(level, config, target);
+    // Fails only where a logger is set already; that one stays.
+    let _ = WriteLogger::init(filter_of(level), config, target);
+    report_unknown(level);
     Ok(())
 }
 
 /// Begins to log to standard output, through a ring that never blocks.
+///
+/// # Errors
+/// The writing thread cannot be started.
 pub(crate) fn start_to_output(level: &str) -> std::io::Result<LogRing> {
-    let level = level.parse().unwrap_or(LevelFilter::Info);
-    brasspond_telemetry::start(level, LogLimits::default(), std::io::stdout())
+    let filter = filter_of(level);
+    let ring = brasspond_telemetry::start(filter, LogLimits::default(), std::io::stdout())?;
+    report_unknown(level);
+    Ok(ring)
+}
+
+/// The filter of a level's name; that of `info` where there is no such level.
+fn filter_of(level: &str) -> LevelFilter {
+    level.parse().unwrap_or(LevelFilter::Info)
+}
+
+/// Logs that a level's name is unknown, so that `info` is used.
+fn report_unknown(level: &str) {
+    if level.parse::<LevelFilter>().is_err() {
+        log::warn!("event=log_level_unknown level={level:?} used=info");
+    }
 }
--- a/crates/brasspond/src/main.rs
+++ b/crates/brasspond/src/main.rs
@@ -4,6 +4,7 @@
 
 mod check;
 mod client;
+mod cluster_process;
 mod demo;
 mod digest;
 mod emulate;
@@ -14,7 +15,7 @@
 mod logging;
 mod node;
 mod options;
-mod process;
+mod runtime;
 
 use crate::exit::Outcome;
 use crate::options::{Command, command_line};
@@ -36,9 +37,9 @@
     };
     let outcome = match command {
         Command::Node(options) => node::run(&options),
-        Command::Edge(options) | Command::Storage(options) => process::run(&options),
+        Command::Edge(options) | Command::Storage(options) => cluster_process::run(&options),
         Command::Explain(options) => explain::run(&options),
-        Command::CheckProcess(options) => process::check(&options),
+        Command::CheckProcess(options) => cluster_process::check(&options),
         Command::Check(options) => check::run(&options),
         Command::Get(options) => client::get(&options),
         Command::Apply(options) => client::apply(&options),
--- a/crates/brasspond/src/node.rs
+++ b/crates/brasspond/src/node.rs
@@ -1,4 +1,4 @@
-//! `brasspond node`: one node, until it is told to stop.
+//! `brasspond node`: one node, until SIGTERM or SIGINT.
 
 use crate::exit::Outcome;
 use crate::logging;
@@ -7,6 +7,7 @@
 use brasspond_node::Node;
 use brasspond_settings::{Override, Settings};
 use serde_json::{Value, json};
+use tokio::runtime::Builder;
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Runs a node until SIGTERM or SIGINT, then drains it.
@@ -53,10 +54,9 @@
     }
 }
 
+/// Waits for a signal to stop.
 fn wait_for_signal() -> std::io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()?;
+    let runtime = Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
@@ -93,6 +93,7 @@
     }
     for pair in &options.set {
         let (key, text) = pair.split_once('=').unwrap_or((pair, ""));
+        // What is no JSON is a text, so that texts need no quotes.
         let value = serde_json::from_str(text).unwrap_or_else(|_| json!(text));
         overrides.push(given(key, value));
     }
--- a/crates/brasspond/tests/callers.rs
+++ b/crates/brasspond/tests/callers.rs
@@ -41,7 +41,7 @@
 /// What callers saw: nothing. What replicas saw: work on requests whose callers had left.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn work_ends_soon_after_its_caller_left() {
+async fn work_is_cancelled_soon_after_its_caller_disconnects() {
     let cluster = Cluster::start().await;
     let front = cluster.edges[0].front;
     cluster.plain.silent.store(true, Ordering::Relaxed);
--- a/crates/brasspond/tests/cluster.rs
+++ b/crates/brasspond/tests/cluster.rs
@@ -317,7 +317,7 @@
 #[case::may_be_repeated("/reads/x", 502, 3)]
 #[case::may_not("/writes/x", 502, 1)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_answer_is_asked_again_only_where_allowed(
+async fn broken_answer_is_retried_only_where_the_route_allows_it(
     #[case] path: &str,
     #[case] status: u16,
     #[case] runs: u32,
@@ -357,7 +357,7 @@
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_storage_machine_is_emptied_once_another_takes_its_place() {
+async fn retirement_completes_once_another_member_has_the_vote() {
     let mut cluster = Cluster::start().await;
     let leader = cluster.leader();
     let leaver = cluster.storage[(leader + 1) % 3].name.clone();
--- a/crates/brasspond/tests/ended.rs
+++ b/crates/brasspond/tests/ended.rs
@@ -108,7 +108,7 @@
 /// Nobody can tell them so: the members of the log stand still at that moment.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn edges_that_slept_through_a_jobs_end_make_no_calls_for_it() {
+async fn edges_suspended_during_a_jobs_end_make_no_calls_for_it() {
     const EDGES: u8 = 4;
     let mut cluster = slow_cluster(EDGES).await;
     submit(&cluster, "job-2").await;
--- a/crates/brasspond/tests/entries.rs
+++ b/crates/brasspond/tests/entries.rs
@@ -35,7 +35,7 @@
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_of_others_cost_nobody_an_answer() {
+async fn unreadable_entries_cost_no_request_its_answer() {
     let cluster = Cluster::start().await;
     let (foreign, address) = Replica::start("foreign").await;
     let spoil = |field: &str, value: Value| {
--- a/crates/brasspond/tests/evacuation.rs
+++ b/crates/brasspond/tests/evacuation.rs
@@ -174,7 +174,7 @@
 /// In force at every edge within the goal, on every way to a replica, until it is taken back.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_zone_is_sent_nothing() {
+async fn evacuated_zone_gets_no_request() {
     let evacuating = Evacuating::start().await;
     evacuating.is_used_again("before").await;
     evacuating.evacuate(ZONE);
@@ -191,7 +191,7 @@
 /// Written, taken back and written again within a second.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_last_word_of_a_second_holds() {
+async fn last_of_several_changes_in_a_second_holds() {
     let evacuating = Evacuating::start().await;
     evacuating.evacuate(ZONE);
     tokio::time::sleep(Duration::from_millis(150)).await;
@@ -238,7 +238,7 @@
 /// No storage process is left: each edge hears the store by itself.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn edges_without_any_leader_hear_of_it() {
+async fn edges_without_a_leader_learn_of_an_evacuation() {
     let mut evacuating = Evacuating::start().await;
     for storage in &mut evacuating.cluster.storage {
         storage.kill();
@@ -251,7 +251,7 @@
 /// The store turns storage processes away: edges that it serves tell the leader.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_that_the_store_refuses_is_told() {
+async fn leader_refused_by_the_store_learns_of_an_evacuation_from_edges() {
     let evacuating = Evacuating::start().await;
     let store = &evacuating.cluster.store;
     store.refuses_storage.store(true, Ordering::Relaxed);
@@ -291,7 +291,7 @@
 /// copy of the view, which does not say it either. Nothing is sent before the store does.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_sent_before_it_is_known() {
+async fn nothing_is_sent_before_evacuations_are_known() {
     let mut evacuating = Evacuating::start().await;
     evacuating.evacuate(ZONE);
     evacuating.in_force(GOAL).await;
@@ -338,7 +338,7 @@
 /// and hears anyone.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edge_that_stood_still_learns_of_it() {
+async fn suspended_edge_learns_of_an_evacuation() {
     let evacuating = Evacuating::start().await;
     let cut = &evacuating.cluster.edges[0];
     cut.signal(Signal::SIGSTOP);
--- a/crates/brasspond/tests/lives.rs
+++ b/crates/brasspond/tests/lives.rs
@@ -57,7 +57,7 @@
 /// the items go on there, and their texts are whole, once, and true to their versions.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replica_that_starts_again_is_taken_up_anew() {
+async fn replica_in_a_new_life_gets_its_weights_and_runs_again() {
     let cluster = Cluster::start().await;
     let first = begin_life(&cluster).await;
     for id in ["engine-0", "engine-1"] {
--- a/crates/brasspond/tests/residency.rs
+++ b/crates/brasspond/tests/residency.rs
@@ -144,7 +144,7 @@
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_and_streams_reach_replicas_inside_alone() {
+async fn requests_and_streams_reach_replicas_in_allowed_regions_only() {
     let parted = Parted::start(bound(1, &["north"])).await;
     for number in 0..20 {
         let id = format!("read-{number}");
@@ -170,7 +170,7 @@
 /// The log's members move to where the jobs' bodies may be; nothing of a job goes elsewhere.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_is_held_and_run_inside_alone() {
+async fn job_is_kept_and_run_in_allowed_regions_only() {
     const ITEMS: usize = 12;
     let parted = Parted::start(bound(1, &["north"])).await;
     parted.await_members_in_the_north().await;
@@ -207,7 +207,7 @@
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn what_may_be_held_nowhere_is_refused_before_its_body_is_read() {
+async fn call_that_no_region_may_serve_is_refused_before_its_body_is_read() {
     let parted = Parted::start(bound(1, &["west"])).await;
     let answer = answer_to_head(parted.front(NORTH), "/jobs/x").await;
     assert!(answer.starts_with("http/1.1 503"), "{answer}");
@@ -236,7 +236,7 @@
 /// Regions are narrowed while a job runs: it goes on inside and ends whole.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_under_way_goes_on_inside_when_regions_narrow() {
+async fn running_job_continues_in_allowed_regions_when_they_narrow() {
     const ITEMS: usize = 60;
     let parted = Parted::start(configuration(1)).await;
     parted.submit(NORTH, "job-1", &job(ITEMS)).await;
--- a/crates/brasspond/tests/starting.rs
+++ b/crates/brasspond/tests/starting.rs
@@ -56,7 +56,7 @@
 /// An edge that nobody tells any configuration holds a request for a moment and no longer.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edge_that_is_told_nothing_turns_callers_away() {
+async fn edge_without_a_configuration_refuses_callers() {
     let mut cluster = Cluster::start().await;
     cluster
         .store
--- a/crates/brasspond/tests/warmup.rs
+++ b/crates/brasspond/tests/warmup.rs
@@ -88,7 +88,7 @@
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn plain_requests_share_what_replicas_bear() {
+async fn plain_requests_share_the_budget_of_warming_replicas() {
     let cluster = start().await;
     cluster.store.remove("servers", "plain-0");
     tokio::time::sleep(Duration::from_millis(800)).await;
@@ -122,7 +122,7 @@
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn items_and_their_scores_keep_to_it_while_leaders_change() {
+async fn items_and_scorings_keep_to_the_budget_while_leaders_change() {
     const ITEMS: usize = 100;
     let mut cluster = start().await;
     for id in ["engine-0", "engine-1", "plain-0"] {
--- a/crates/findings/src/document.rs
+++ b/crates/findings/src/document.rs
@@ -1,17 +1,18 @@
-//! Parsed documents that remember the line of every key.
+//! Parsed documents that know the line of each key.
 
 use crate::Finding;
 use marked_yaml::types::Node;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// A document with the places of its keys.
+/// A document with the lines of its keys.
 #[derive(Clone, Debug)]
 pub struct Document {
     /// File it came from.
     pub file: String,
     /// Its content.
     pub value: Value,
+    /// Line of each key by its path, counted from 1.
     lines: BTreeMap<String, usize>,
 }
 
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Line of a key, or of the nearest key above it that has one.
+    /// Line of a key, or of the nearest key above it that has one; 0 where none has.
     pub fn line(&self, key: &str) -> usize {
         let mut key = key;
         loop {
@@ -54,7 +55,8 @@
     1 + before.filter(|byte| **byte == b'\n').count()
 }
 
-fn join(parent: &str, key: &str) -> String {
+/// Path of a key below another; a path is empty at the top of a document.
+pub(crate) fn join(parent: &str, key: &str) -> String {
     if parent.is_empty() {
         key.to_owned()
     } else {
@@ -63,6 +65,9 @@
 }
 
 /// Parses TOML text.
+///
+/// # Errors
+/// The finding of the parser.
 pub fn parse_toml(file: &str, text: &str) -> Result<Document, Vec<Finding>> {
     let fail = |offset: usize, message: &str| {
         let line = line_of_offset(text, offset);
@@ -109,8 +114,10 @@
     }
 }
 
-/// Parses YAML text, or JSON, which is read as YAML. Several documents are
-/// separated by `---`.
+/// Parses YAML text, or JSON, which is read as YAML. Several documents are separated by `---`.
+///
+/// # Errors
+/// A finding for each document that cannot be parsed.
 pub fn parse_yaml(file: &str, text: &str) -> Result<Vec<Document>, Vec<Finding>> {
     let mut documents = Vec::new();
     let mut findings = Vec::new();
--- a/crates/findings/src/schema.rs
+++ b/crates/findings/src/schema.rs
@@ -1,5 +1,6 @@
-//! Tables of allowed fields and the walk along them.
+//! Tables of allowed fields, and the check of a document against one.
 
+use crate::document::join;
 use crate::{Document, Finding};
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
@@ -80,7 +81,8 @@
         }
     }
 
-    fn accepts_scalar(&self, value: &Value) -> bool {
+    /// Whether a value itself is allowed; what is inside lists and tables is checked separately.
+    fn accepts(&self, value: &Value) -> bool {
         match self {
             Self::Name => value.as_str().is_some_and(is_name),
             Self::Text => value.as_str().is_some_and(|text| !text.is_empty()),
@@ -105,6 +107,7 @@
     }
 }
 
+/// Whether text may be a name: its length is bounded as that of a host name is (RFC 1035).
 fn is_name(text: &str) -> bool {
     const LONGEST_NAME: usize = 253;
     let allowed =
@@ -130,14 +133,6 @@
     findings
 }
 
-fn join(parent: &str, key: &str) -> String {
-    if parent.is_empty() {
-        key.to_owned()
-    } else {
-        format!("{parent}.{key}")
-    }
-}
-
 fn check_table(
     document: &Document,
     path: &str,
@@ -172,7 +167,7 @@
     kind: &Kind,
     findings: &mut Vec<Finding>,
 ) {
-    if !kind.accepts_scalar(value) {
+    if !kind.accepts(value) {
         let problem = format!("{value} is not allowed");
         findings.push(document.finding(key, problem, kind.describe()));
         return;
