--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -11,7 +11,7 @@
 pub const QUARANTINED_AFTER: usize = 3;
 /// Number of ends from which edges are sent a case. They then report an answer to its content,
 /// which clears it before the last end of `QUARANTINED_AFTER`.
-pub const WATCHED_AFTER: usize = 2;
+const WATCHED_AFTER: usize = 2;
 /// Most replicas kept by name for one content; further ends change nothing. It bounds the memory
 /// of a case (docs/design/0018-quarantine-and-time.md).
 const MOST_ENDS: usize = 16;
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -26,7 +26,7 @@
 mod ledger;
 mod recorder;
 
-pub use case::{Case, QUARANTINED_AFTER, WATCHED_AFTER};
+pub use case::{Case, QUARANTINED_AFTER};
 pub use fingerprint::{Content, Fingerprint};
 pub use keeper::{FIRST_HOLD, Keeper};
 pub use ledger::{Change, Ledger};
