--- a/standalone/emulator/src/lib.rs
+++ b/standalone/emulator/src/lib.rs
@@ -7,6 +7,9 @@
 //! batch are worked out at once. [`ObjectStore`] models the object API and
 //! [`WeightStore`] the rate-limited weight store. The simulation drives these
 //! models in simulated time; `brasspond-standin` serves them over HTTP.
+//!
+//! Owns the state of one engine or store. Relies on its caller for time and on a seed
+//! for everything that is drawn.
 #![forbid(unsafe_code)]
 
 mod cache;
--- a/standalone/node/src/lib.rs
+++ b/standalone/node/src/lib.rs
@@ -3,6 +3,9 @@
 //! One thread takes all decisions; others carry bytes. They are joined by
 //! bounded channels (`docs/design/0001-architecture.md`). This package
 //! assembles and applies; it decides nothing.
+//!
+//! Owns sockets, threads, rings and the data folder. Relies on `brasspond-control` for
+//! every decision, on engines and on the platform's store over HTTP.
 #![forbid(unsafe_code)]
 
 mod attempts;
--- a/standalone/simulation/src/actions.rs
+++ b/standalone/simulation/src/actions.rs
@@ -1,8 +1,10 @@
 //! Applying what the nodes decide.
 
 use crate::clients::Origin;
+use crate::platform::failed;
 use crate::world::{Happening, World};
-use brasspond_control::{Action, Event, StoreCall, StoreEvent};
+use brasspond_control::{Action, Event, PutResult, StoreCall, StoreEvent};
+use brasspond_protocol::Envelope;
 use brasspond_resource::Revision;
 use brasspond_types::EngineName;
 use std::time::Duration;
@@ -42,15 +44,8 @@
                 address,
             } => {
                 let target = self.node_indices.get(&to).copied();
-                let target = target.or_else(|| self.node_at(address));
-                let Some(target) = target else {
-                    return;
-                };
-                let target_zone = self.nodes[target].zone;
-                let delays = self.network.datagram(zone, target_zone, &mut self.random);
-                for delay in delays {
-                    let arrival = Happening::Arrives(target, envelope.clone());
-                    self.queue.push(self.now + delay, arrival);
+                if let Some(target) = target.or_else(|| self.node_at(address)) {
+                    self.send_datagrams(zone, target, &envelope);
                 }
             }
             Action::StartAttempt {
@@ -83,15 +78,26 @@
                 let happening = Happening::StoreCalled(node, instance, Box::new(call));
                 self.queue.push(self.now + STORE_DELAY, happening);
             }
-            Action::InForce(_) => {
-                let catalogue = self.nodes[node]
-                    .control()
-                    .map(|control| control.catalogue().clone());
-                let is_slow = self.draw(SLOW_DISK);
-                if self.nodes[node].has_disk && !is_slow {
-                    self.nodes[node].disk = catalogue;
-                }
-            }
+            Action::InForce(_) => self.keep_on_disk(node),
+        }
+    }
+
+    /// Sends a message, of which any number of copies may arrive.
+    fn send_datagrams(&mut self, from_zone: usize, to: usize, envelope: &Envelope) {
+        let zone = self.nodes[to].zone;
+        let delays = self.network.datagram(from_zone, zone, &mut self.random);
+        for delay in delays {
+            let arrival = Happening::Arrives(to, Box::new(envelope.clone()));
+            self.queue.push(self.now + delay, arrival);
+        }
+    }
+
+    fn keep_on_disk(&mut self, node: usize) {
+        let is_slow = self.draw(SLOW_DISK);
+        let node = &mut self.nodes[node];
+        let catalogue = node.control().map(|control| control.catalogue().clone());
+        if node.has_disk && !is_slow {
+            node.disk = catalogue;
         }
     }
 
@@ -99,17 +105,7 @@
     pub(crate) fn store_called(&mut self, node: usize, instance: u64, call: StoreCall) {
         let zone = self.nodes[node].zone;
         if !self.network.reaches_platform(zone) {
-            let event = match call {
-                StoreCall::List | StoreCall::Watch(_) => StoreEvent::ReadFailed,
-                StoreCall::Write { write, .. } => {
-                    let result = brasspond_control::PutResult::Lost;
-                    StoreEvent::Written { write, result }
-                }
-                StoreCall::Find { write, .. } => StoreEvent::Found {
-                    write,
-                    object: None,
-                },
-            };
+            let event = failed(&call, PutResult::Lost);
             self.store_answers(node, instance, event, UNREACHABLE_TIME);
             return;
         }
--- a/standalone/simulation/src/lib.rs
+++ b/standalone/simulation/src/lib.rs
@@ -4,6 +4,11 @@
 //! in `brasspond node`; everything around them is simulated and seeded. The
 //! oracle is fed by what trainers, callers, engines and services saw, never by
 //! what the nodes say of themselves. Fuzzing draws faults two at a time.
+//!
+//! Owns the simulated clock, the queue of events and all that is outside a node's
+//! decisions. Relies on `brasspond-control` for the decisions and on
+//! `brasspond-emulator` for engines and stores; reads no real clock and opens no
+//! socket, so that a seed always plays alike.
 #![forbid(unsafe_code)]
 
 mod actions;
--- a/standalone/simulation/src/platform.rs
+++ b/standalone/simulation/src/platform.rs
@@ -43,7 +43,7 @@
         let after = if self.slow { SLOW_TIME } else { ANSWER_TIME };
         if self.down {
             return Answer {
-                event: Some(failed(&call)),
+                event: Some(failed(&call, PutResult::NotSent)),
                 after: FAILURE_TIME,
             };
         }
@@ -93,12 +93,13 @@
     }
 }
 
-fn failed(call: &StoreCall) -> StoreEvent {
+/// How a call fails; `written` is the fate of a write.
+pub(crate) fn failed(call: &StoreCall, written: PutResult) -> StoreEvent {
     match call {
         StoreCall::List | StoreCall::Watch(_) => StoreEvent::ReadFailed,
         StoreCall::Write { write, .. } => StoreEvent::Written {
             write: *write,
-            result: PutResult::NotSent,
+            result: written,
         },
         StoreCall::Find { write, .. } => StoreEvent::Found {
             write: *write,
--- a/standalone/standin/src/lib.rs
+++ b/standalone/standin/src/lib.rs
@@ -5,6 +5,9 @@
 //! server-sent events for engines, the Kubernetes object conventions for the
 //! object store. Each keeps records of its own that the demo and the tests
 //! hold against what brasspond says.
+//!
+//! Owns sockets, timers and records. Relies on `brasspond-emulator` for how an engine or
+//! a store behaves: there is no second model here.
 #![forbid(unsafe_code)]
 
 mod engine;
