--- a/scripts/rounds.py
+++ b/scripts/rounds.py
@@ -24,10 +24,10 @@
 
 def play_one(bench, site, day, seed, why):
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
-        words = [bench, "run", site, day, "--seed", str(seed), "--why", why, "--report", report.name]
-        run = subprocess.run(words, capture_output=True, text=True)
+        command = [bench, "run", site, day, "--seed", str(seed), "--why", why, "--report", report.name]
+        run = subprocess.run(command, capture_output=True, text=True)
         try:
-            told = json.load(open(report.name))
+            result = json.load(open(report.name))
         except json.JSONDecodeError:
             raise SystemExit(f"{day} {seed} was not played:\n{run.stdout}{run.stderr}")
     row = next((line for line in run.stdout.splitlines() if line.startswith(day)), "")
@@ -35,21 +35,21 @@
     return {
         "day": day,
         "seed": seed,
-        "worth": told["G"],
+        "worth": result["G"],
         "score": float(score.group(1)) if score else None,
-        "served": told["served"],
-        "failed": told["failed"],
-        "broken": told["breaks"],
-        "prices": {name: worth for name, _, worth in told["prices"]},
+        "served": result["served"],
+        "failed": result["failed"],
+        "broken": result["breaks"],
+        "prices": {name: worth for name, _, worth in result["prices"]},
     }
 
 
-def play(words):
-    days = [(day, seed) for seed in words.seeds.split(",") for day in words.days.split(",")]
-    with concurrent.futures.ThreadPoolExecutor(words.jobs) as pool:
-        plays = [pool.submit(play_one, words.bench, words.site, day, seed, words.why) for day, seed in days]
-        rows = [one.result() for one in plays]
-    with open(words.out, "w") as out:
+def play(options):
+    days = [(day, seed) for seed in options.seeds.split(",") for day in options.days.split(",")]
+    with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
+        runs = [pool.submit(play_one, options.bench, options.site, day, seed, options.why) for day, seed in days]
+        rows = [run.result() for run in runs]
+    with open(options.out, "w") as out:
         out.writelines(json.dumps(row) + "\n" for row in rows)
     tabulate(rows)
 
@@ -60,7 +60,7 @@
     for row in rows:
         for name, worth in row["prices"].items():
             prices[name] = prices.get(name, 0) + worth / len(rows)
-    largest = sorted(prices.items(), key=lambda one: -one[1])[:8]
+    largest = sorted(prices.items(), key=lambda price: -price[1])[:8]
     print(f"{len(rows)} days: worth {mean('worth'):.3f} score {mean('score'):.3f} "
           f"served {mean('served'):.3f} failed {mean('failed'):.3f} "
           f"broken {sum(bool(row['broken']) for row in rows)}")
@@ -75,16 +75,16 @@
     return {(row["day"], row["seed"]): row for row in rows}
 
 
-def compare(words):
-    before, after = read(words.before), read(words.after)
+def compare(options):
+    before, after = read(options.before), read(options.after)
     both = sorted(set(before) & set(after))
     for name in ("worth", "served", "failed"):
-        tell(name, [after[key][name] - before[key][name] for key in both])
+        print_difference(name, [after[key][name] - before[key][name] for key in both])
     for price in sorted({name for key in both for name in after[key]["prices"]}):
-        tell(price, [after[key]["prices"].get(price, 0) - before[key]["prices"].get(price, 0) for key in both], 0.0005)
+        print_difference(price, [after[key]["prices"].get(price, 0) - before[key]["prices"].get(price, 0) for key in both], 0.0005)
 
 
-def tell(name, gaps, least=0.0):
+def print_difference(name, gaps, least=0.0):
     mean = statistics.fmean(gaps)
     spread = statistics.stdev(gaps) if len(gaps) > 1 else 0.0
     if abs(mean) >= least:
@@ -93,22 +93,22 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    verbs = parser.add_subparsers(required=True)
-    one = verbs.add_parser("play")
-    one.add_argument("bench")
-    one.add_argument("site")
-    one.add_argument("--why", required=True)
-    one.add_argument("--out", required=True)
-    one.add_argument("--days", default=DAYS)
-    one.add_argument("--seeds", default="1,2,3,4")
-    one.add_argument("--jobs", type=int, default=4)
-    one.set_defaults(run=play)
-    one = verbs.add_parser("compare")
-    one.add_argument("before")
-    one.add_argument("after")
-    one.set_defaults(run=compare)
-    words = parser.parse_args()
-    words.run(words)
+    commands = parser.add_subparsers(required=True)
+    command = commands.add_parser("play")
+    command.add_argument("bench")
+    command.add_argument("site")
+    command.add_argument("--why", required=True)
+    command.add_argument("--out", required=True)
+    command.add_argument("--days", default=DAYS)
+    command.add_argument("--seeds", default="1,2,3,4")
+    command.add_argument("--jobs", type=int, default=4)
+    command.set_defaults(run=play)
+    command = commands.add_parser("compare")
+    command.add_argument("before")
+    command.add_argument("after")
+    command.set_defaults(run=compare)
+    options = parser.parse_args()
+    options.run(options)
 
 
 main()
