--- a/standalone/control/src/control.rs
+++ b/standalone/control/src/control.rs
@@ -127,11 +127,6 @@
         &self.me
     }
 
-    /// Members as this node sees them.
-    pub fn membership(&self) -> &Membership {
-        &self.membership
-    }
-
     /// The configuration in force here.
     pub fn catalogue(&self) -> &Arc<Catalogue> {
         self.replica.catalogue()
--- a/standalone/emulator/src/cache.rs
+++ b/standalone/emulator/src/cache.rs
@@ -6,7 +6,7 @@
 
 /// Blocks of prompt prefixes kept by an engine.
 #[derive(Clone, Debug)]
-pub struct PrefixCache {
+pub(crate) struct PrefixCache {
     capacity: usize,
     clock: u64,
     used_at: HashMap<u64, u64>,
@@ -33,7 +33,7 @@
 
     /// Looks up a prefix, enters all its blocks, and returns the number of
     /// tokens that were cached.
-    pub fn touch(&mut self, hashes: &[u64]) -> u32 {
+    pub(crate) fn touch(&mut self, hashes: &[u64]) -> u32 {
         let cached = hashes
             .iter()
             .take_while(|hash| self.used_at.contains_key(hash));
@@ -84,7 +84,7 @@
 
     /// Takes the events since the last call; some of them are lost, as seen
     /// by a gap in their sequence, where more came than are kept.
-    pub fn take_events(&mut self) -> Vec<CacheEvent> {
+    pub(crate) fn take_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
 }
--- a/standalone/emulator/src/lib.rs
+++ b/standalone/emulator/src/lib.rs
@@ -18,8 +18,7 @@
 mod text;
 mod weight_store;
 
-pub use cache::PrefixCache;
 pub use engine::{Engine, EngineEvent, EngineParameters, SubmitRefusal};
 pub use object_store::{ObjectStore, StoreError};
-pub use text::{LengthDistribution, answer_length, text_of, token_text, verify_text};
+pub use text::{LengthDistribution, answer_length, text_of, verify_text};
 pub use weight_store::{Transfer, WeightStore};
--- a/standalone/emulator/src/text.rs
+++ b/standalone/emulator/src/text.rs
@@ -112,7 +112,7 @@
 }
 
 /// Text of one token, with the space before it.
-pub fn token_text(prompt: &str, index: u32, version: WeightVersion) -> &'static str {
+pub(crate) fn token_text(prompt: &str, index: u32, version: WeightVersion) -> &'static str {
     let parts = [
         prompt.as_bytes(),
         &index.to_le_bytes(),
--- a/standalone/fairness/src/usage.rs
+++ b/standalone/fairness/src/usage.rs
@@ -32,11 +32,6 @@
         self.served.get(group).copied().unwrap_or_default()
     }
 
-    /// Cost served to all groups.
-    pub fn total(&self) -> f64 {
-        self.served.values().sum()
-    }
-
     /// All groups with their served cost.
     pub fn iter(&self) -> impl Iterator<Item = (&GroupName, f64)> {
         self.served.iter().map(|(group, served)| (group, *served))
--- a/standalone/membership/src/member.rs
+++ b/standalone/membership/src/member.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether what `other` says of the same member replaces what `self` says.
-    pub fn is_superseded_by(&self, other: &Self) -> bool {
+    pub(crate) fn is_superseded_by(&self, other: &Self) -> bool {
         (other.incarnation, other.state) > (self.incarnation, self.state)
     }
 }
--- a/standalone/rollout/src/step.rs
+++ b/standalone/rollout/src/step.rs
@@ -38,7 +38,7 @@
     }
 
     /// Index of the prompt of a slot.
-    pub fn prompt_index(&self, slot: u32) -> usize {
+    pub(crate) fn prompt_index(&self, slot: u32) -> usize {
         (slot / self.samples_per_prompt.max(1)) as usize
     }
 
--- a/standalone/routing/src/health.rs
+++ b/standalone/routing/src/health.rs
@@ -50,12 +50,12 @@
     }
 
     /// Whether the engine may be chosen at `now`.
-    pub fn is_eligible(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_eligible(&self, now: Timestamp) -> bool {
         self.ejected_until.is_none_or(|until| until <= now)
     }
 
     /// Factor on the engine's cost: above one while it starts slowly.
-    pub fn cost_factor(&self, now: Timestamp) -> f64 {
+    pub(crate) fn cost_factor(&self, now: Timestamp) -> f64 {
         let Some(started) = self.started else {
             return 1.0;
         };
--- a/standalone/simulation/src/config.rs
+++ b/standalone/simulation/src/config.rs
@@ -106,7 +106,7 @@
 
 impl WorldConfig {
     /// Zones in all.
-    pub fn zones(&self) -> usize {
+    pub(crate) fn zones(&self) -> usize {
         self.regions * self.zones_per_region
     }
 }
--- a/standalone/simulation/src/oracle.rs
+++ b/standalone/simulation/src/oracle.rs
@@ -50,7 +50,7 @@
 
 /// The oracle.
 #[derive(Debug, Default)]
-pub struct Oracle {
+pub(crate) struct Oracle {
     violations: Vec<Violation>,
     delivered: BTreeMap<StepId, BTreeSet<u32>>,
     runs: BTreeMap<u64, u32>,
@@ -59,7 +59,7 @@
 
 impl Oracle {
     /// Everything that was broken, in order.
-    pub fn violations(&self) -> &[Violation] {
+    pub(crate) fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
--- a/standalone/simulation/src/world.rs
+++ b/standalone/simulation/src/world.rs
@@ -178,7 +178,7 @@
     }
 
     /// The oracle.
-    pub fn oracle(&self) -> &Oracle {
+    pub(crate) fn oracle(&self) -> &Oracle {
         &self.oracle
     }
 
--- a/standalone/standin/src/engine.rs
+++ b/standalone/standin/src/engine.rs
@@ -125,7 +125,7 @@
     }
 
     /// Announces a planned stop.
-    pub fn leave(&self) {
+    pub(crate) fn leave(&self) {
         let now = self.now();
         self.locked(|state| {
             state.engine.leave(now);
--- a/standalone/standin/src/faults.rs
+++ b/standalone/standin/src/faults.rs
@@ -43,7 +43,7 @@
 
 impl FaultSchedule {
     /// Whether a fault of a kind is under way.
-    pub fn is_on(&self, kind: FaultKind, since_start: Duration) -> bool {
+    pub(crate) fn is_on(&self, kind: FaultKind, since_start: Duration) -> bool {
         let now = since_start.as_millis() as u64;
         self.fault.iter().any(|fault| {
             let ends = fault.at_milliseconds + fault.for_milliseconds;
@@ -52,7 +52,7 @@
     }
 
     /// When the process is to end, if ever.
-    pub fn crash_at(&self) -> Option<Duration> {
+    pub(crate) fn crash_at(&self) -> Option<Duration> {
         let crashes = self
             .fault
             .iter()
