--- a/standalone/emulator/src/lib.rs
+++ b/standalone/emulator/src/lib.rs
@@ -7,6 +7,9 @@
 //! batch are worked out at once. [`ObjectStore`] models the object API and
 //! [`WeightStore`] the rate-limited weight store. The simulation drives these
 //! models in simulated time; `brasspond-standin` serves them over HTTP.
+//!
+//! Owns the state of one engine or store. Relies on its caller for time and on a seed
+//! for everything that is drawn.
 #![forbid(unsafe_code)]
 
 mod cache;
@@ -15,8 +18,7 @@
 mod text;
 mod weight_store;
 
-pub use cache::PrefixCache;
 pub use engine::{Engine, EngineEvent, EngineParameters, SubmitRefusal};
 pub use object_store::{ObjectStore, StoreError};
-pub use text::{LengthDistribution, answer_length, text_of, token_text, verify_text};
+pub use text::{LengthDistribution, answer_length, text_of, verify_text};
 pub use weight_store::{Transfer, WeightStore};
