--- a/crates/cluster/src/storage/record.rs
+++ b/crates/cluster/src/storage/record.rs
@@ -109,7 +109,8 @@
         let local = self.local.clone();
         tokio::task::spawn_local(async move {
             let event = call(registry).await.unwrap_or_else(|error| {
-                log::warn!("event=registry_call_failed error=\"{error}\"");
+                // Not worth a warning: where several make the record at once, all but one fail.
+                log::info!("event=registry_call_failed error=\"{error}\"");
                 RegistryEvent::Failed
             });
             local.send(Local::Registry(event)).await;
