--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -209,25 +209,23 @@
             std::future::pending::<()>().await;
         }
         let bytes = &buffer[..read];
-        if pass_piece(bytes, passed, &mut to, direction, state)
-            .await
-            .is_none()
-        {
+        let Some(sent) = pass_piece(bytes, passed, &mut to, direction, state).await else {
             return;
-        }
-        passed += read as u64;
+        };
+        passed += sent as u64;
     }
 }
 
-/// Passes one piece on under the present harm, `passed` bytes after the connection's first; none:
-/// the connection is to end.
+/// Passes one piece on under the present harm, `passed` bytes after the connection's first.
+/// Returns how many bytes went in one write, without those that trickled; none: the connection is
+/// to end.
 async fn pass_piece(
     bytes: &[u8],
     passed: u64,
     to: &mut OwnedWriteHalf,
     direction: Direction,
     state: &State,
-) -> Option<()> {
+) -> Option<usize> {
     let mut bytes = bytes;
     match state.harm() {
         Some(Harm::CutThere) if direction == Direction::There => {
@@ -256,5 +254,6 @@
         }
         _ => {}
     }
-    to.write_all(bytes).await.ok()
+    to.write_all(bytes).await.ok()?;
+    Some(bytes.len())
 }
