--- a/crates/autoscaling/src/autoscaler.rs
+++ b/crates/autoscaling/src/autoscaler.rs
@@ -78,7 +78,7 @@
 
 impl Autoscaler {
     /// Records how many requests of a service run or wait at `now`.
-    pub fn note_load(&mut self, service: &str, requests: usize, now: Millis) {
+    pub fn record_load(&mut self, service: &str, requests: usize, now: Millis) {
         match self.peaks.get_mut(service) {
             Some(peak) => peak.record(requests, now),
             None => {
--- a/crates/autoscaling/tests/autoscaler.rs
+++ b/crates/autoscaling/tests/autoscaler.rs
@@ -135,7 +135,7 @@
     let mut now = span.start;
     while now < span.end {
         platform.boot(now);
-        scaler.note_load("engines", load(now), now);
+        scaler.record_load("engines", load(now), now);
         let view = platform.view();
         for order in scaler.plan(&view, now) {
             let answer = platform.order(&order, now);
--- a/crates/cluster/src/edge/attempts.rs
+++ b/crates/cluster/src/edge/attempts.rs
@@ -37,7 +37,7 @@
 /// Silence after which a stream counts as stalled, in objectives of its route. Not measured.
 const STALL_OBJECTIVES: u32 = 2;
 /// Longest time until a replica begins its answer to an item's run. A bound of last resort: the
-/// leader cancels a run whose events stop much earlier (`dispatch::Settings::stall_ms`).
+/// leader cancels a run whose events stop much earlier (`STALLED_AFTER` of package dispatch).
 pub(super) const ITEM_HEAD_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Pause of a replica under whose requests faults were observed: it gets no request that
--- a/crates/cluster/src/edge/balance.rs
+++ b/crates/cluster/src/edge/balance.rs
@@ -187,7 +187,7 @@
             .forget_gone(|id| view.replicas.contains_key(id), now);
         let links = &self.links;
         for (id, info) in view.replicas.iter() {
-            let change = self.lives.hear_entry(id, info.life, info.revision, now);
+            let change = self.lives.observe_entry(id, info.life, info.revision, now);
             if change == LifeChange::Older {
                 if let Some(known) = self.replicas.get_mut(id) {
                     known.standing.renew_limits(info, view, now);
--- a/crates/cluster/src/edge/ended.rs
+++ b/crates/cluster/src/edge/ended.rs
@@ -155,7 +155,7 @@
     fn record_end(&self, broken: &Break) {
         let report = broken.report();
         let now = self.clock.now();
-        let is_new = self.quarantine.borrow_mut().note_end(report.clone(), now);
+        let is_new = self.quarantine.borrow_mut().record_end(report.clone(), now);
         if is_new {
             self.send_to_leader(&Message::ReplicasEnded(vec![report]));
         }
@@ -175,12 +175,12 @@
     pub(super) fn apply_quarantine(&self, update: CasesUpdate) {
         let (is_whole, changed) = (update.is_whole, update.cases.len());
         let mut quarantine = self.quarantine.borrow_mut();
-        quarantine.take(update);
+        quarantine.apply(update);
         log::info!(
             "event=quarantine_known whole={is_whole} changed={changed} held={}",
-            quarantine.held()
+            quarantine.quarantined()
         );
-        self.metrics.held_contents(quarantine.held());
+        self.metrics.quarantined_contents(quarantine.quarantined());
     }
 }
 
--- a/crates/cluster/src/edge/evacuation.rs
+++ b/crates/cluster/src/edge/evacuation.rs
@@ -11,7 +11,7 @@
     pub(super) fn observe_evacuations(&self, view: &FleetView) {
         let now = self.clock.now();
         let mut evacuations = self.fleet.evacuations.borrow_mut();
-        for change in evacuations.take(view, now) {
+        for change in evacuations.update(view, now) {
             log::info!("{change} role=edge revision={}", view.evacuated_revision);
         }
         let known = view.evacuated_revision > 0;
--- a/crates/cluster/src/edge/permits.rs
+++ b/crates/cluster/src/edge/permits.rs
@@ -153,7 +153,7 @@
             // A permit without an end is of a leader for which the replica is warm. It counts only
             // if that leader knows what this edge knows.
             Ok(Answer::Permit(permit)) => permit
-                .filter(|permit| !permit.is_for_good() || self.edge.leader_knows(&permit.replica)),
+                .filter(|permit| !permit.is_unlimited() || self.edge.leader_knows(&permit.replica)),
             // No leader, or none that answers: the request waits, or is refused.
             Ok(_) | Err(_) => None,
         }
@@ -177,7 +177,7 @@
     pub(super) fn permit_of(&self, spec: &RunSpec) -> Option<Permit> {
         let send_by = match spec.send_by {
             Some(send_by) => send_by,
-            None if self.leader_knows(&spec.replica) => Permit::FOR_GOOD,
+            None if self.leader_knows(&spec.replica) => Permit::UNLIMITED,
             None => return None,
         };
         Some(Permit {
@@ -191,6 +191,6 @@
         let view = self.fleet.view.borrow();
         let leader_view = self.fleet.leader_view.borrow();
         let leader_view = leader_view.as_ref();
-        leader_view.is_some_and(|leader_view| view.tells_warming_like(leader_view, replica))
+        leader_view.is_some_and(|leader_view| view.agrees_on_warm_up(leader_view, replica))
     }
 }
--- a/crates/cluster/src/edge/process.rs
+++ b/crates/cluster/src/edge/process.rs
@@ -189,8 +189,11 @@
         let text = move || {
             // Without a ring lines go straight to their output: none is dropped.
             let dropped = log_ring.as_ref().map_or(0, LogRing::dropped);
-            edge.link_context.tell_metrics(&edge.metrics);
-            edge.platform.observed.borrow().tell_metrics(&edge.metrics);
+            edge.link_context.update_metrics(&edge.metrics);
+            edge.platform
+                .observed
+                .borrow()
+                .update_metrics(&edge.metrics);
             edge.metrics.text(dropped)
         };
         tokio::task::spawn_local(crate::metrics_server::serve(address, Rc::new(text)));
--- a/crates/cluster/src/edge/usage.rs
+++ b/crates/cluster/src/edge/usage.rs
@@ -68,7 +68,7 @@
     /// Everything is to be reported to a new leader.
     pub(super) fn report_all_usage(&self) {
         if let Some(usage) = &mut *self.usage.recorder.borrow_mut() {
-            usage.tell_all();
+            usage.report_all();
         }
     }
 }
@@ -109,7 +109,7 @@
     pub fn begins_now(&mut self) {
         let time = self.edge.true_time();
         if let Some(usage) = &mut *self.edge.usage.recorder.borrow_mut() {
-            usage.settled(self.window, None);
+            usage.finished(self.window, None);
             self.window = usage.sent(time);
         }
     }
@@ -118,7 +118,7 @@
 impl Drop for Metered {
     fn drop(&mut self) {
         if let Some(usage) = &mut *self.edge.usage.recorder.borrow_mut() {
-            usage.settled(self.window, self.tenant.as_ref());
+            usage.finished(self.window, self.tenant.as_ref());
         }
     }
 }
--- a/crates/cluster/src/evacuation.rs
+++ b/crates/cluster/src/evacuation.rs
@@ -63,7 +63,7 @@
 impl Evacuations {
     /// Brings the state up to a newer view at `now`, in ms of the process's clock, and returns
     /// what changed. A view that does not know which zones are evacuated changes nothing.
-    pub fn take(&mut self, view: &FleetView, now: u64) -> Vec<Change> {
+    pub fn update(&mut self, view: &FleetView, now: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         if view.evacuated_revision == 0 {
             return changes;
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -5,7 +5,7 @@
 //! of a core and charge every wake-up, so a thread for each duty costs more
 //! than it gains here (`docs/design/0013-platform.md`). What lies outside (the
 //! platform's store, the names of headers, the form of calls) comes through
-//! the traits of [`outside`].
+//! the traits of [`platform`].
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/crates/cluster/src/link_context.rs
+++ b/crates/cluster/src/link_context.rs
@@ -66,7 +66,7 @@
     }
 
     /// Brings metrics up to date.
-    pub(crate) fn tell_metrics(&self, metrics: &impl AsRef<LinkMetrics>) {
+    pub(crate) fn update_metrics(&self, metrics: &impl AsRef<LinkMetrics>) {
         let metrics = metrics.as_ref();
         for (kind, distance, bytes) in self.traffic.all() {
             metrics.sent(kind.name(), distance_name(distance), bytes);
--- a/crates/cluster/src/platform/view.rs
+++ b/crates/cluster/src/platform/view.rs
@@ -53,7 +53,7 @@
 
 impl Observed {
     /// Sets the metrics of the source to the present state.
-    pub(crate) fn tell_metrics(&self, metrics: &impl AsRef<SourceMetrics>) {
+    pub(crate) fn update_metrics(&self, metrics: &impl AsRef<SourceMetrics>) {
         let metrics = metrics.as_ref();
         for (kind, now, turned) in self.unreadable.counts() {
             metrics.unreadable(kind, now, turned);
--- a/crates/cluster/src/storage/applying.rs
+++ b/crates/cluster/src/storage/applying.rs
@@ -81,7 +81,7 @@
     /// is logged and left out: the view's source has a newer one.
     pub(super) fn take_remembered(&mut self) {
         self.has_newer_copy = false;
-        let Some((_, bytes)) = self.table.remembered() else {
+        let Some((_, bytes)) = self.table.view_copy() else {
             return;
         };
         match rmp_serde::from_slice::<FleetView>(bytes) {
--- a/crates/cluster/src/storage/collecting.rs
+++ b/crates/cluster/src/storage/collecting.rs
@@ -82,7 +82,7 @@
         let Some(leading) = &mut self.leading else {
             return;
         };
-        let known = self.table.remembered().map_or(0, |(revision, _)| *revision);
+        let known = self.table.view_copy().map_or(0, |(revision, _)| *revision);
         if !leading.copies.is_due(&self.view, known, now) {
             return;
         }
--- a/crates/cluster/src/storage/edges.rs
+++ b/crates/cluster/src/storage/edges.rs
@@ -215,7 +215,7 @@
         });
         let now = self.clock.now();
         if let Some(leading) = &mut self.leading {
-            leading.dispatcher.edge_told_clock(machine, uptime, now);
+            leading.dispatcher.edge_reported_clock(machine, uptime, now);
         }
         self.send_registration(sender.link, now);
         if draining {
@@ -245,7 +245,7 @@
         // A message of an ended process may arrive after the first of its successor, whose clock
         // is another.
         if leading.edges.is_link_of(machine, sender.link) {
-            leading.dispatcher.edge_told_clock(machine, uptime, now);
+            leading.dispatcher.edge_reported_clock(machine, uptime, now);
         }
         leading.clock.note(machine, wall, now);
         if let Some(metering) = &mut leading.metering {
--- a/crates/cluster/src/storage/evacuation.rs
+++ b/crates/cluster/src/storage/evacuation.rs
@@ -30,7 +30,7 @@
         let Some(leading) = &mut self.leading else {
             return;
         };
-        for change in leading.evacuations.take(&self.view, now) {
+        for change in leading.evacuations.update(&self.view, now) {
             log::info!(
                 "{change} role=storage revision={} source_answers={}",
                 self.view.evacuated_revision,
--- a/crates/cluster/src/storage/group.rs
+++ b/crates/cluster/src/storage/group.rs
@@ -104,7 +104,7 @@
                 came.machine,
                 came.id
             );
-            self.consensus.note_lost(id);
+            self.consensus.record_lost_disk(id);
         }
     }
 
--- a/crates/cluster/src/storage/monitor.rs
+++ b/crates/cluster/src/storage/monitor.rs
@@ -76,8 +76,8 @@
             let mut state = state.get();
             // Without a ring no line can be dropped.
             state.log_lines_dropped = log_ring.as_ref().map_or(0, LogRing::dropped);
-            context.tell_metrics(&*metrics);
-            observed.borrow().tell_metrics(&*metrics);
+            context.update_metrics(&*metrics);
+            observed.borrow().update_metrics(&*metrics);
             metrics.text(&state)
         };
         tokio::task::spawn_local(crate::metrics_server::serve(address, Rc::new(text)));
@@ -100,7 +100,7 @@
             file_bytes: self.disk.bytes(),
             voters: self.consensus.members().len(),
             leads: self.leading.is_some(),
-            held_contents: self.table.quarantine().held(),
+            quarantined_contents: self.table.quarantine().quarantined(),
             ..state
         });
     }
--- a/crates/cluster/src/storage/ordering.rs
+++ b/crates/cluster/src/storage/ordering.rs
@@ -210,7 +210,7 @@
             return OrderAnswer::NotSent;
         }
     };
-    let call = pool.call_anew_if(is_fresh, order.address, request, REPLICA_TIMEOUT);
+    let call = pool.call_fresh_if(is_fresh, order.address, request, REPLICA_TIMEOUT);
     match call.await {
         Ok((status, _, _)) => wire.order_answer(status),
         Err(UpstreamError::NotSent) => OrderAnswer::NotSent,
--- a/crates/cluster/src/storage/process.rs
+++ b/crates/cluster/src/storage/process.rs
@@ -278,7 +278,7 @@
     let holder = last_holder(&kept.entries);
     let mut consensus = Consensus::new(own.id, kept, Timing::default(), rand::random(), now);
     if holder.is_some_and(|holder| holder != own.machine) {
-        consensus.wait_for_another(now);
+        consensus.yield_first_election(now);
     }
     consensus
 }
--- a/crates/cluster/src/storage/scaling.rs
+++ b/crates/cluster/src/storage/scaling.rs
@@ -38,7 +38,7 @@
             if service.scaling.is_some() {
                 // Services without requests are not in the map.
                 let load = requests.get(&service.name).copied().unwrap_or(0);
-                leading.autoscaler.note_load(&service.name, load, now);
+                leading.autoscaler.record_load(&service.name, load, now);
             }
         }
         let mut due = Vec::new();
--- a/crates/cluster/src/storage/texts.rs
+++ b/crates/cluster/src/storage/texts.rs
@@ -39,12 +39,12 @@
         let Some(job) = self.texts.ended.pop_front() else {
             return;
         };
-        let texts = self.table.spare_texts(&job);
+        let texts = self.table.texts_for_file(&job);
         if texts.is_empty() {
             return;
         }
         match self.texts.files.write(texts.iter().map(|(_, text)| text)) {
-            Ok(file) => self.table.put_away(&job, file, &texts),
+            Ok(file) => self.table.move_to_file(&job, file, &texts),
             // The texts stay in memory.
             Err(error) => log::warn!("event=texts_not_written job={job} error=\"{error}\""),
         }
--- a/crates/cluster/src/upstream.rs
+++ b/crates/cluster/src/upstream.rs
@@ -125,7 +125,7 @@
             }
             // The replica may have closed it meanwhile.
         }
-        self.call_anew_if(|| true, address, request, limit).await
+        self.call_fresh_if(|| true, address, request, limit).await
     }
 
     /// Makes a call on a new connection, which rests here afterwards, and reads the whole answer;
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     /// See [`UpstreamError`]; not sent where it may not be.
-    pub(crate) async fn call_anew_if(
+    pub(crate) async fn call_fresh_if(
         &self,
         may_send: impl FnOnce() -> bool,
         address: SocketAddr,
--- a/crates/cluster/tests/support/members.rs
+++ b/crates/cluster/tests/support/members.rs
@@ -195,7 +195,7 @@
             .iter()
             .any(|one| one.machine == voter.machine && one.id != voter.id);
         if came {
-            process.note_lost(voter.id);
+            process.record_lost_disk(voter.id);
         }
     }
 }
--- a/crates/cluster/tests/unit/balance.rs
+++ b/crates/cluster/tests/unit/balance.rs
@@ -115,7 +115,7 @@
     let mut view = view(&[("reborn", "n1"), ("other", "n1")]);
     let replicas = Arc::make_mut(&mut view.replicas);
     let info = replicas.get_mut("reborn").expect("there");
-    info.life = Life::told(born);
+    info.life = Life::reported(born);
     info.revision = revision;
     info.address = address.parse().expect("address");
     view
--- a/crates/cluster/tests/unit/ended.rs
+++ b/crates/cluster/tests/unit/ended.rs
@@ -25,7 +25,7 @@
         content: content(),
         replica: Identity {
             id: "replica-0".into(),
-            life: Life::told(born),
+            life: Life::reported(born),
         },
         address: "127.0.0.1:1".parse().expect("address"),
         begun: Moment::now(),
@@ -43,7 +43,7 @@
         assert!(!recorder.is_quarantined(content()), "after {life} ends");
         for request in 0..3 {
             let report = broken(1_000 * life).report();
-            let is_new = recorder.note_end(report, 5_000 * (life + 1));
+            let is_new = recorder.record_end(report, 5_000 * (life + 1));
             assert_eq!(is_new, request == 0);
         }
     }
--- a/crates/cluster/tests/unit/upstream.rs
+++ b/crates/cluster/tests/unit/upstream.rs
@@ -18,7 +18,7 @@
         let request = Request::new(Full::new(Bytes::from_static(b"order")));
         let limit = Duration::from_millis(400);
         let pool = Pool::default();
-        pool.call_anew_if(|| false, address, request, limit).await
+        pool.call_fresh_if(|| false, address, request, limit).await
     };
     let serving = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -26,7 +26,7 @@
 
     /// Lets another member ask first after all processes ended at once. Call it before the first
     /// [`Consensus::tick`].
-    pub fn wait_for_another(&mut self, now: Millis) {
+    pub fn yield_first_election(&mut self, now: Millis) {
         self.early_at = Some(self.next_early(now) + EARLY_HEAD_START);
     }
 
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -49,7 +49,7 @@
     /// Tells that a member's disk is lost for good: its machine came back under
     /// another identity. Must be certain, since its vote is no longer waited
     /// for where the others suffice (groups of an even size).
-    pub fn note_lost(&mut self, id: MemberId) {
+    pub fn record_lost_disk(&mut self, id: MemberId) {
         if id != self.id {
             self.lost.insert(id);
         }
--- a/crates/dispatch/src/edges.rs
+++ b/crates/dispatch/src/edges.rs
@@ -171,7 +171,7 @@
     }
 
     /// A message of an edge said what its clock showed when it was sent, in ms.
-    pub fn edge_told_clock(&mut self, machine: &str, theirs: Millis, now: Millis) {
+    pub fn edge_reported_clock(&mut self, machine: &str, theirs: Millis, now: Millis) {
         if let Some(edge) = self.edges.get_mut(machine) {
             edge.clock.observe(theirs, now);
         }
--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -90,7 +90,7 @@
         now: Millis,
     ) -> Option<ReplicaReport> {
         let report = report?;
-        match self.replicas.lives.hear(id, report.life, now) {
+        match self.replicas.lives.observe_report(id, report.life, now) {
             LifeChange::Same | LifeChange::First => {}
             LifeChange::Older => return None,
             LifeChange::Reborn { .. } => {
--- a/crates/dispatch/src/rebirth.rs
+++ b/crates/dispatch/src/rebirth.rs
@@ -51,7 +51,7 @@
         lives.forget_gone(|id| entries.contains_key(id), now);
         let mut reborn = Vec::new();
         for (id, info) in entries.iter() {
-            let change = lives.hear_entry(id, info.life, info.revision, now);
+            let change = lives.observe_entry(id, info.life, info.revision, now);
             if matches!(change, LifeChange::Reborn { .. }) {
                 reborn.push(id);
             }
--- a/crates/dispatch/src/warming.rs
+++ b/crates/dispatch/src/warming.rs
@@ -262,7 +262,7 @@
         self.replicas.warming.counts.requests += 1;
         Some(Permit {
             replica: Arc::from(id),
-            send_by: counted.map_or(Permit::FOR_GOOD, |_| ask.asked_at + PERMIT_MS),
+            send_by: counted.map_or(Permit::UNLIMITED, |_| ask.asked_at + PERMIT_MS),
         })
     }
 
--- a/crates/dispatch/src/withheld.rs
+++ b/crates/dispatch/src/withheld.rs
@@ -32,7 +32,7 @@
     /// Withholds an item that is about to be started, if its content is quarantined and this is no
     /// retry; says whether it did.
     pub(crate) fn withhold(&mut self, id: &str, item: u32, table: &JobTable, now: Millis) -> bool {
-        if !table.quarantine().holds_any() {
+        if !table.quarantine().has_quarantined() {
             return false;
         }
         let Some(content) = item_content(id, item, table) else {
@@ -87,7 +87,7 @@
 
     /// Whether the content of the call that scores an item's text is quarantined.
     pub(crate) fn is_scoring_quarantined(&self, id: &str, item: u32, table: &JobTable) -> bool {
-        if !table.quarantine().holds_any() {
+        if !table.quarantine().has_quarantined() {
             return false;
         }
         let stored = table.job(id).and_then(|job| job.items.get(item as usize));
--- a/crates/dispatch/tests/lives.rs
+++ b/crates/dispatch/tests/lives.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use support::{submission, view};
 
-const FIRST: Life = Life::told(1_000);
-const SECOND: Life = Life::told(9_000);
+const FIRST: Life = Life::reported(1_000);
+const SECOND: Life = Life::reported(9_000);
 
 /// A fleet of replicas in their first lives.
 fn fleet(replicas: usize) -> FleetView {
--- a/crates/dispatch/tests/model/carry.rs
+++ b/crates/dispatch/tests/model/carry.rs
@@ -129,7 +129,7 @@
     /// The life that a replica reports, or its first where that fault is built in.
     pub(super) fn life_of(&self, replica: &Replica) -> Life {
         if self.mutation == Some(Mutation::RebirthUnreported) && replica.reports_life {
-            return Life::told(replica.first_born);
+            return Life::reported(replica.first_born);
         }
         replica.life()
     }
--- a/crates/dispatch/tests/model/messages.rs
+++ b/crates/dispatch/tests/model/messages.rs
@@ -102,7 +102,7 @@
             ToLeader::Draining => Event::EdgeDraining(machine.clone()),
             ToLeader::Clock(theirs) => {
                 if let Some(dispatcher) = &mut self.dispatcher {
-                    dispatcher.edge_told_clock(&machine, theirs, self.now);
+                    dispatcher.edge_reported_clock(&machine, theirs, self.now);
                 }
                 return;
             }
--- a/crates/dispatch/tests/model/replica.rs
+++ b/crates/dispatch/tests/model/replica.rs
@@ -123,7 +123,7 @@
     /// The life that it reports.
     pub fn life(&self) -> Life {
         if self.reports_life {
-            Life::told(self.born)
+            Life::reported(self.born)
         } else {
             Life::UNKNOWN
         }
--- a/crates/dispatch/tests/runs.rs
+++ b/crates/dispatch/tests/runs.rs
@@ -187,7 +187,7 @@
 
 /// An old link may deliver late, after the new link's first messages. Found by fuzzing.
 #[rstest]
-fn reported_twice_are_taken_once() {
+fn events_reported_twice_are_accepted_once() {
     let mut fixture = Fixture::new(view(1, 1), OrderLeases::default());
     fixture.edge("edge-1");
     let actions = fixture.accept(submission("job", &[1], 0));
--- a/crates/eligibility/tests/warming.rs
+++ b/crates/eligibility/tests/warming.rs
@@ -149,7 +149,7 @@
     };
     let own = with(Some(3_000), BOUNDED);
     assert_eq!(
-        own.tells_warming_like(&with(told_ms, warm_up), "replica"),
+        own.agrees_on_warm_up(&with(told_ms, warm_up), "replica"),
         knows
     );
 }
--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -22,7 +22,7 @@
     pub const UNKNOWN: Self = Self(None);
 
     /// A life that began at `born`, in Unix ms of the replica's clock.
-    pub const fn told(born: u64) -> Self {
+    pub const fn reported(born: u64) -> Self {
         Self(Some(born))
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// A replica reported its life itself.
-    pub fn hear(&mut self, id: &str, life: Life, now: u64) -> LifeChange {
+    pub fn observe_report(&mut self, id: &str, life: Life, now: u64) -> LifeChange {
         let Some(known) = self.known.get_mut(id) else {
             return self.add(id, life, 0, now);
         };
@@ -145,7 +145,7 @@
     }
 
     /// A replica's entry of this revision reports a life.
-    pub fn hear_entry(&mut self, id: &str, life: Life, revision: u64, now: u64) -> LifeChange {
+    pub fn observe_entry(&mut self, id: &str, life: Life, revision: u64, now: u64) -> LifeChange {
         let Some(known) = self.known.get_mut(id) else {
             return self.add(id, life, revision, now);
         };
--- a/crates/fleet/tests/life.rs
+++ b/crates/fleet/tests/life.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const OLD: Life = Life::told(1_000);
-const NEW: Life = Life::told(2_000);
+const OLD: Life = Life::reported(1_000);
+const NEW: Life = Life::reported(2_000);
 
 fn reborn(before: Life) -> LifeChange {
     LifeChange::Reborn { before }
@@ -14,8 +14,8 @@
 /// No life is not the same as one that began at 0.
 #[rstest]
 fn an_unknown_life_differs_from_every_reported_one() {
-    assert_ne!(Life::UNKNOWN, Life::told(0));
-    assert!(Life::UNKNOWN < Life::told(0));
+    assert_ne!(Life::UNKNOWN, Life::reported(0));
+    assert!(Life::UNKNOWN < Life::reported(0));
     assert!(OLD < NEW);
 }
 
@@ -24,11 +24,11 @@
 #[rstest]
 fn an_older_life_is_ignored() {
     let mut lives = Lives::default();
-    assert_eq!(lives.hear_entry("one", OLD, 5, 0), LifeChange::First);
-    assert_eq!(lives.hear("one", NEW, 10), reborn(OLD));
-    assert_eq!(lives.hear_entry("one", OLD, 5, 20), LifeChange::Older);
-    assert_eq!(lives.hear("one", OLD, 30), LifeChange::Older);
-    assert_eq!(lives.hear_entry("one", NEW, 6, 40), LifeChange::Same);
+    assert_eq!(lives.observe_entry("one", OLD, 5, 0), LifeChange::First);
+    assert_eq!(lives.observe_report("one", NEW, 10), reborn(OLD));
+    assert_eq!(lives.observe_entry("one", OLD, 5, 20), LifeChange::Older);
+    assert_eq!(lives.observe_report("one", OLD, 30), LifeChange::Older);
+    assert_eq!(lives.observe_entry("one", NEW, 6, 40), LifeChange::Same);
     assert_eq!(lives.of("one"), NEW);
 }
 
@@ -37,13 +37,16 @@
 fn reports_without_a_life_count_as_of_the_known_one() {
     let mut lives = Lives::default();
     assert_eq!(
-        lives.hear_entry("one", Life::UNKNOWN, 1, 0),
+        lives.observe_entry("one", Life::UNKNOWN, 1, 0),
         LifeChange::First
     );
-    assert_eq!(lives.hear("one", Life::UNKNOWN, 10), LifeChange::Same);
-    assert_eq!(lives.hear("one", OLD, 20), reborn(Life::UNKNOWN));
     assert_eq!(
-        lives.hear_entry("one", Life::UNKNOWN, 2, 30),
+        lives.observe_report("one", Life::UNKNOWN, 10),
+        LifeChange::Same
+    );
+    assert_eq!(lives.observe_report("one", OLD, 20), reborn(Life::UNKNOWN));
+    assert_eq!(
+        lives.observe_entry("one", Life::UNKNOWN, 2, 30),
         LifeChange::Same
     );
     assert_eq!(lives.of("one"), OLD);
@@ -53,10 +56,16 @@
 #[rstest]
 fn a_lower_life_counts_after_the_set_back_time() {
     let mut lives = Lives::default();
-    lives.hear_entry("one", NEW, 5, 0);
-    assert_eq!(lives.hear_entry("one", OLD, 6, 10), LifeChange::Older);
-    assert_eq!(lives.hear("one", OLD, 9 + SET_BACK_MS), LifeChange::Older);
-    assert_eq!(lives.hear("one", OLD, 10 + SET_BACK_MS), reborn(NEW));
+    lives.observe_entry("one", NEW, 5, 0);
+    assert_eq!(lives.observe_entry("one", OLD, 6, 10), LifeChange::Older);
+    assert_eq!(
+        lives.observe_report("one", OLD, 9 + SET_BACK_MS),
+        LifeChange::Older
+    );
+    assert_eq!(
+        lives.observe_report("one", OLD, 10 + SET_BACK_MS),
+        reborn(NEW)
+    );
     assert_eq!(lives.of("one"), OLD);
 }
 
@@ -64,13 +73,13 @@
 #[rstest]
 fn a_late_report_postpones_a_set_back() {
     let mut lives = Lives::default();
-    lives.hear_entry("one", NEW, 5, 0);
-    lives.hear_entry("one", OLD, 6, 10);
-    assert_eq!(lives.hear("one", NEW, 500), LifeChange::Same);
+    lives.observe_entry("one", NEW, 5, 0);
+    lives.observe_entry("one", OLD, 6, 10);
+    assert_eq!(lives.observe_report("one", NEW, 500), LifeChange::Same);
     assert!(lives.is_uncertain());
-    let change = lives.hear_entry("one", OLD, 6, 499 + SET_BACK_MS);
+    let change = lives.observe_entry("one", OLD, 6, 499 + SET_BACK_MS);
     assert_eq!(change, LifeChange::Older);
-    let change = lives.hear_entry("one", OLD, 6, 500 + SET_BACK_MS);
+    let change = lives.observe_entry("one", OLD, 6, 500 + SET_BACK_MS);
     assert_eq!(change, reborn(NEW));
 }
 
@@ -78,27 +87,33 @@
 #[rstest]
 fn a_stale_entry_is_no_set_back() {
     let mut lives = Lives::default();
-    lives.hear_entry("one", OLD, 5, 0);
-    lives.hear("one", NEW, 10);
+    lives.observe_entry("one", OLD, 5, 0);
+    lives.observe_report("one", NEW, 10);
     for step in 1..10 {
-        let change = lives.hear_entry("one", OLD, 5, step * SET_BACK_MS);
+        let change = lives.observe_entry("one", OLD, 5, step * SET_BACK_MS);
         assert_eq!(change, LifeChange::Older);
     }
     // A late write of the old life, which the new one writes over.
-    assert_eq!(lives.hear_entry("one", OLD, 6, 200_000), LifeChange::Older);
-    assert_eq!(lives.hear_entry("one", NEW, 7, 203_000), LifeChange::Same);
+    assert_eq!(
+        lives.observe_entry("one", OLD, 6, 200_000),
+        LifeChange::Older
+    );
+    assert_eq!(
+        lives.observe_entry("one", NEW, 7, 203_000),
+        LifeChange::Same
+    );
     let later = 203_000 + SET_BACK_MS;
-    assert_eq!(lives.hear_entry("one", OLD, 7, later), LifeChange::Older);
+    assert_eq!(lives.observe_entry("one", OLD, 7, later), LifeChange::Older);
 }
 
 /// A life stays known for some time after its entry went.
 #[rstest]
 fn lives_of_gone_replicas_are_forgotten() {
     let mut lives = Lives::default();
-    lives.hear_entry("one", NEW, 5, 0);
+    lives.observe_entry("one", NEW, 5, 0);
     lives.forget_gone(|_| true, 100_000);
     lives.forget_gone(|_| false, 130_000);
-    assert_eq!(lives.hear("one", OLD, 130_000), LifeChange::Older);
+    assert_eq!(lives.observe_report("one", OLD, 130_000), LifeChange::Older);
     lives.forget_gone(|_| false, 160_000);
     assert_eq!(lives.of("one"), Life::UNKNOWN);
 }
@@ -110,12 +125,12 @@
         let mut lives = Lives::default();
         let mut highest = Life::UNKNOWN;
         for (step, (born, is_entry)) in reports.iter().enumerate() {
-            let life = if *born == 0 { Life::UNKNOWN } else { Life::told(*born) };
+            let life = if *born == 0 { Life::UNKNOWN } else { Life::reported(*born) };
             let step = step as u64;
             let change = if *is_entry {
-                lives.hear_entry("one", life, step, step)
+                lives.observe_entry("one", life, step, step)
             } else {
-                lives.hear("one", life, step)
+                lives.observe_report("one", life, step)
             };
             let is_first = step == 0;
             let is_newer = life > highest;
--- a/crates/jobs/src/away.rs
+++ b/crates/jobs/src/away.rs
@@ -41,7 +41,7 @@
 impl JobTable {
     /// Positions and texts of an ended job that are needed only for reads; none where some are on
     /// disk already.
-    pub fn spare_texts(&self, id: &str) -> Vec<(u64, Bytes)> {
+    pub fn texts_for_file(&self, id: &str) -> Vec<(u64, Bytes)> {
         let Some(job) = self.job(id).filter(|job| job.ended && job.away.is_none()) else {
             return Vec::new();
         };
@@ -59,7 +59,7 @@
 
     /// Texts of a job are in a file now, one after another in the order of `texts`: they go from
     /// the table.
-    pub fn put_away(&mut self, id: &str, file: u64, texts: &[(u64, Bytes)]) {
+    pub fn move_to_file(&mut self, id: &str, file: u64, texts: &[(u64, Bytes)]) {
         let Some(job) = self.job_mut(id) else {
             return;
         };
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -43,7 +43,7 @@
     /// By id.
     jobs: BTreeMap<String, Job>,
     /// The newest configuration with its revision.
-    remembered: Option<(u64, Bytes)>,
+    view_copy: Option<(u64, Bytes)>,
     #[serde(default)]
     usage: UsageLedger,
     #[serde(default)]
@@ -103,9 +103,9 @@
         &self.quarantine
     }
 
-    /// The newest configuration that was remembered, with its revision.
-    pub fn remembered(&self) -> Option<&(u64, Bytes)> {
-        self.remembered.as_ref()
+    /// The newest configuration that was view_copy, with its revision.
+    pub fn view_copy(&self) -> Option<&(u64, Bytes)> {
+        self.view_copy.as_ref()
     }
 
     /// Results of a job from position `since` on: `limit` bytes of text at most, but at least one
@@ -306,9 +306,9 @@
     }
 
     fn remember(&mut self, revision: u64, configuration: Bytes) {
-        let known = self.remembered.as_ref().map_or(0, |(known, _)| *known);
+        let known = self.view_copy.as_ref().map_or(0, |(known, _)| *known);
         if revision > known {
-            self.remembered = Some((revision, configuration));
+            self.view_copy = Some((revision, configuration));
         }
     }
 }
--- a/crates/jobs/tests/away.rs
+++ b/crates/jobs/tests/away.rs
@@ -51,9 +51,9 @@
 }
 
 /// Puts a job's texts away; returns the file's content.
-fn put_away(table: &mut JobTable, id: &str) -> Bytes {
-    let texts = table.spare_texts(id);
-    table.put_away(id, 7, &texts);
+fn move_to_file(table: &mut JobTable, id: &str) -> Bytes {
+    let texts = table.texts_for_file(id);
+    table.move_to_file(id, 7, &texts);
     let content: Vec<u8> = texts.iter().flat_map(|(_, text)| text.to_vec()).collect();
     content.into()
 }
@@ -81,7 +81,7 @@
     let mut table = JobTable::default();
     play(&mut table, "job", 12, 10);
     let before = table.page("job", since, limit).expect("job");
-    let file = put_away(&mut table, "job");
+    let file = move_to_file(&mut table, "job");
     assert_eq!(read(&table, &file, since, limit), before);
 }
 
@@ -90,19 +90,19 @@
 fn texts_of_groups_that_are_not_whole_stay_in_the_table() {
     let mut table = JobTable::default();
     play(&mut table, "job", 12, 10);
-    put_away(&mut table, "job");
+    move_to_file(&mut table, "job");
     let job = table.job("job").expect("job");
     assert_eq!(job.text(7), None, "its group is whole");
     assert!(job.text(8).is_some_and(|(text, _)| !text.is_empty()));
     assert!(job.text(9).is_some_and(|(text, _)| !text.is_empty()));
-    assert!(table.spare_texts("job").is_empty(), "only once");
+    assert!(table.texts_for_file("job").is_empty(), "only once");
 }
 
 #[rstest]
 fn texts_of_jobs_that_have_not_ended_stay_in_the_table() {
     let mut table = JobTable::default();
     table.apply(Command::Accept(submission("job", 4)));
-    assert!(table.spare_texts("job").is_empty());
+    assert!(table.texts_for_file("job").is_empty());
 }
 
 #[rstest]
@@ -110,7 +110,7 @@
     let mut table = JobTable::default();
     play(&mut table, "job", 12, 10);
     let before = table.encode().expect("encodes");
-    let file = put_away(&mut table, "job");
+    let file = move_to_file(&mut table, "job");
     let away = table.job("job").and_then(|job| job.away.clone());
     for (position, place) in away.expect("away").places {
         let begin = place.offset as usize;
@@ -130,7 +130,7 @@
     for number in 0..JOBS {
         let id = format!("job-{number}");
         play(&mut table, &id, ITEMS, ITEMS as u32);
-        put_away(&mut table, &id);
+        move_to_file(&mut table, &id);
     }
     let bytes = table.encode().expect("encodes").len();
     let texts = JOBS * ITEMS * TEXT;
--- a/crates/jobs/tests/table.rs
+++ b/crates/jobs/tests/table.rs
@@ -222,7 +222,7 @@
     };
     table.apply(remember(5, "new"));
     table.apply(remember(4, "old"));
-    assert_eq!(table.remembered(), Some(&(5, Bytes::from_static(b"new"))));
+    assert_eq!(table.view_copy(), Some(&(5, Bytes::from_static(b"new"))));
 }
 
 fn any_command() -> impl Strategy<Value = Command> {
--- a/crates/metering/src/recorder.rs
+++ b/crates/metering/src/recorder.rs
@@ -55,7 +55,7 @@
 
     /// Records what became of a request of that window: `ran` is the tenant if it ran, or may have
     /// run. Each call of `sent` needs one of these.
-    pub fn settled(&mut self, window: WindowNumber, ran: Option<&Arc<str>>) {
+    pub fn finished(&mut self, window: WindowNumber, ran: Option<&Arc<str>>) {
         if let Some(pending) = self.pending.get_mut(&window) {
             *pending -= 1;
             if *pending == 0 {
@@ -98,7 +98,7 @@
     }
 
     /// Has the next report contain everything: it goes to another leader.
-    pub fn tell_all(&mut self) {
+    pub fn report_all(&mut self) {
         self.unreported = self.counts.keys().copied().collect();
         self.reported_open_from = 0;
     }
--- a/crates/metering/tests/fuzzing.rs
+++ b/crates/metering/tests/fuzzing.rs
@@ -129,7 +129,7 @@
                     let counts = self.truth.entry(window).or_default();
                     *counts.entry(Arc::clone(&name)).or_default() += 1;
                 }
-                edge.recorder.settled(window, ran.then_some(&name));
+                edge.recorder.finished(window, ran.then_some(&name));
             }
         }
         if self.kills && self.rng.random_bool(0.005) {
@@ -153,7 +153,7 @@
             self.leader = Some(Metering::new(settings(), self.now));
             if self.fault != Fault::TellsNewLeadersNothing {
                 let edges = self.edges.iter_mut();
-                edges.for_each(|edge| edge.recorder.tell_all());
+                edges.for_each(|edge| edge.recorder.report_all());
             }
         }
     }
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -98,7 +98,7 @@
     }
 
     /// Whether any content is quarantined; if none is, callers need no fingerprint.
-    pub fn holds_any(&self) -> bool {
+    pub fn has_quarantined(&self) -> bool {
         !self.held.is_empty()
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// How many contents are quarantined.
-    pub fn held(&self) -> usize {
+    pub fn quarantined(&self) -> usize {
         self.held.len()
     }
 }
--- a/crates/quarantine/src/recorder.rs
+++ b/crates/quarantine/src/recorder.rs
@@ -70,7 +70,7 @@
     }
 
     /// How many contents are quarantined by the leader's cases.
-    pub fn held(&self) -> usize {
+    pub fn quarantined(&self) -> usize {
         self.known
             .values()
             .filter(|case| case.is_quarantined())
@@ -80,7 +80,7 @@
     /// Records that a replica ended under a content; whether that is new, so that the leader needs
     /// the report. An end counts towards quarantine here only if its run began after the last one
     /// that counts; a report goes to the leader in any case.
-    pub fn note_end(&mut self, report: EndReport, now: Millis) -> bool {
+    pub fn record_end(&mut self, report: EndReport, now: Millis) -> bool {
         let ended_at = now.saturating_sub(report.ago_ms);
         let begun_at = ended_at.saturating_sub(report.ran_ms);
         if self.own.len() >= MOST_OWN && !self.own.contains_key(&report.content) {
@@ -109,7 +109,7 @@
     }
 
     /// Applies cases from the leader.
-    pub fn take(&mut self, update: CasesUpdate) {
+    pub fn apply(&mut self, update: CasesUpdate) {
         if update.is_whole {
             self.known.clear();
         }
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -104,7 +104,7 @@
     assert!(!leader.is_quarantined("popular"));
     let mut edge = Recorder::default();
     for number in 0..10 {
-        edge.note_end(end("popular", &format!("replica-{number}")), TRY + number);
+        edge.record_end(end("popular", &format!("replica-{number}")), TRY + number);
     }
     assert!(!edge.is_quarantined(content("popular")));
 }
@@ -181,7 +181,7 @@
     let mut edge = Recorder::default();
     for number in 0..QUARANTINED_AFTER {
         assert!(!edge.is_quarantined(content("ends")));
-        let is_new = edge.note_end(
+        let is_new = edge.record_end(
             end("ends", &format!("replica-{number}")),
             TRY * (number as u64 + 1),
         );
@@ -202,12 +202,12 @@
         cases: vec![(content("ends"), ledger.case(content("ends")).cloned())],
     };
     let mut edge = Recorder::default();
-    edge.take(update(true, &leader.ledger));
+    edge.apply(update(true, &leader.ledger));
     assert!(edge.is_quarantined(content("ends")));
-    assert_eq!(edge.held(), 1);
+    assert_eq!(edge.quarantined(), 1);
     assert!(edge.answered(content("ends")), "news to the leader");
     assert!(!edge.answered(content("another")));
     leader.answered("ends");
-    edge.take(update(false, &leader.ledger));
+    edge.apply(update(false, &leader.ledger));
     assert!(!edge.is_quarantined(content("ends")));
 }
--- a/crates/telemetry/src/metrics/edge.rs
+++ b/crates/telemetry/src/metrics/edge.rs
@@ -29,7 +29,7 @@
         denials: Counters = "denials", "Calls turned away for their API key, by reason";
         store_reachable: Gauge = "store_reachable", "1 while the platform's store answers";
         unoffered_seconds: Histogram = "unoffered_seconds", "Time for which requests were queued that no replica was offered";
-        held_contents: Gauge = "held_contents", "Quarantined contents, as the leader reported";
+        quarantined_contents: Gauge = "held_contents", "Quarantined contents, as the leader reported";
         log_lines_dropped: Gauge = "log_lines_dropped", "Log lines dropped since the start";
     }
 }
@@ -106,8 +106,8 @@
     }
 
     /// The leader reported how many contents are quarantined.
-    pub fn held_contents(&self, count: usize) {
-        self.own.held_contents.set(count as i64);
+    pub fn quarantined_contents(&self, count: usize) {
+        self.own.quarantined_contents.set(count as i64);
     }
 
     /// An attempt at a replica ended.
--- a/crates/telemetry/src/metrics/storage.rs
+++ b/crates/telemetry/src/metrics/storage.rs
@@ -37,7 +37,7 @@
         jobs: Gauge = "jobs", "Jobs in the table";
         running: Gauge = "runs", "Runs under way, where it leads";
         waiting: Gauge = "items_waiting", "Items that wait, where it leads";
-        held_contents: Gauge = "held_contents", "Quarantined contents";
+        quarantined_contents: Gauge = "held_contents", "Quarantined contents";
         warming_replicas: Gauge = "warming_replicas", "Replicas that warm up, or did just now, where this process leads";
         log_lines_dropped: Gauge = "log_lines_dropped", "Log lines dropped since the start";
     }
@@ -72,7 +72,7 @@
     /// Items that wait, if it leads.
     pub waiting: usize,
     /// Contents that are quarantined.
-    pub held_contents: usize,
+    pub quarantined_contents: usize,
     /// Log lines dropped since the start.
     pub log_lines_dropped: u64,
 }
@@ -178,7 +178,9 @@
         self.readings.jobs.set(state.jobs as i64);
         self.readings.running.set(state.running as i64);
         self.readings.waiting.set(state.waiting as i64);
-        self.readings.held_contents.set(state.held_contents as i64);
+        self.readings
+            .quarantined_contents
+            .set(state.quarantined_contents as i64);
         self.readings
             .log_lines_dropped
             .set(state.log_lines_dropped as i64);
--- a/crates/warmup/src/permit.rs
+++ b/crates/warmup/src/permit.rs
@@ -21,12 +21,12 @@
 impl Permit {
     /// [`Permit::send_by`] of a permit without an end: the leader knows the replica as warm and
     /// counts it in no budget.
-    pub const FOR_GOOD: Millis = Millis::MAX;
+    pub const UNLIMITED: Millis = Millis::MAX;
 
     /// Whether it has no end. Such a permit is to be used only if the leader knows the replica's
     /// present warm-up period, which the sender may know first.
-    pub fn is_for_good(&self) -> bool {
-        self.send_by == Self::FOR_GOOD
+    pub fn is_unlimited(&self) -> bool {
+        self.send_by == Self::UNLIMITED
     }
 
     /// Whether it allows a request to a replica to be sent at `now`, by the sender's clock.
