--- a/crates/brasspond/tests/cluster.rs
+++ b/crates/brasspond/tests/cluster.rs
@@ -102,8 +102,8 @@
 }
 
 /// A run that is given up between its last event and the end of its stream goes on after
-/// its last event, where nothing is left to make and no weights are named (llyfr-rollout-now-
-/// grown trouble-1: refused as made by old weights for ever, each replica blamed in turn).
+/// its last event, where nothing is left to make and no weights are named. Such an answer was once
+/// refused as made by old weights for ever, and each replica paused in turn.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_text_of_which_only_the_end_is_missing_is_whole() {
@@ -223,8 +223,8 @@
 }
 
 /// The holder of orders leads again after all processes ended, and goes on at once:
-/// no other's lease is to be waited for (adrese-riga scale-2: three of nine replicas
-/// stood idle for 3.2 s).
+/// no other's lease is to be waited for. While it was, three of nine replicas were
+/// idle for 3.2 s.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_go_on_at_once_after_all_processes_ended() {
@@ -376,8 +376,8 @@
     }
 }
 
-/// A request turned away before any route is known has a line with its identity too
-/// (adrese-riga, agac-visor: requests sent 0.1 s after all processes ended had none).
+/// A request turned away before any route is known has a line with its id too, as
+/// those have that come 0.1 s after all processes ended.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_turned_away_at_once_is_logged_by_its_identity() {
@@ -451,7 +451,7 @@
 }
 
 /// A store that was silent for a while never answered the watches held at that
-/// time, and edges waited ten seconds for them (adrese-riga, own day 324).
+/// time, and edges waited ten seconds for them.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_is_in_force_soon_after_the_store_was_silent() {
@@ -472,8 +472,8 @@
 }
 
 /// The store refuses the storage machines and serves the edges: what is written
-/// meanwhile reaches the leader through them (llyfr-rollout, own day "nodes":
-/// DRAIN 2, and a step lost).
+/// meanwhile reaches the leader through them. Without that, requests went to replicas
+/// that had left, and a step was lost.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leader_that_the_store_refuses_learns_from_edges() {
@@ -495,8 +495,8 @@
     leader.await_line("event=view_from_edge").await;
 }
 
-/// adrese-riga-large scale-2: reads at edges that were cut off were held for longer than
-/// their callers wait, and a trainer that met two of them got its step seconds late.
+/// Reads at isolated edges waited for longer than their callers do, and a trainer that met two such
+/// edges got its step seconds late.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_edge_without_a_leader_says_so_soon() {
--- a/crates/cluster/src/edge/front.rs
+++ b/crates/cluster/src/edge/front.rs
@@ -78,7 +78,7 @@
         let view = edge.fleet.view.borrow();
         view.configuration.as_ref().map(|one| one.limits)
     };
-    // Before a configuration is known those of none apply.
+    // Before a configuration is known the default limits apply.
     let limits = limits.unwrap_or_default();
     let mut closing = edge.callers.watch_closing();
     let handler = Rc::clone(&edge);
--- a/crates/cluster/src/edge/item_run.rs
+++ b/crates/cluster/src/edge/item_run.rs
@@ -91,7 +91,9 @@
     }
 }
 
-/// Version of the weights that begin the answer; 0 where none is named and no events follow.
+/// Version of the weights that begin the answer. An answer that goes on after the last event has
+/// none to name: 0, and no event follows. An answer from the first event on that names none ends the
+/// run as too old.
 ///
 /// # Errors
 /// How the run ends by its head alone.
--- a/crates/cluster/src/edge/passing.rs
+++ b/crates/cluster/src/edge/passing.rs
@@ -218,8 +218,8 @@
     }
 }
 
-/// Number in the last `id:` line; none where there is no such line or it holds no number: the
-/// stream is resumed after the last id known before then.
+/// Number in the last `id:` line; none where there is no such line or it holds no number. A
+/// stream is then resumed after the last id of an earlier piece.
 fn last_id(events: &[u8]) -> Option<u64> {
     let lines = events.split(|byte| *byte == b'\n').rev();
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
--- a/crates/cluster/src/storage/collecting.rs
+++ b/crates/cluster/src/storage/collecting.rs
@@ -94,7 +94,7 @@
         };
         let copy = Command::Remember {
             revision: revision(&self.view),
-            configuration: view.into(),
+            view: view.into(),
         };
         // Packed however busy this process is: it goes to all members and their disks, and the
         // smaller it is the newer is the one that the next leader begins with.
--- a/crates/cluster/src/storage/leader_rules.rs
+++ b/crates/cluster/src/storage/leader_rules.rs
@@ -87,8 +87,8 @@
 /// Pause between two changes of the view sent to edges: one tick of the leader.
 const VIEW_PAUSE: Millis = 100;
 /// Pause between two changes of the view that edges do not act on. Each load of weights is one:
-/// sent every 100 ms, 600 loads at a time left 300 machines so busy that 0.312 of the requests
-/// were served (docs/design/0016-large-fleets.md).
+/// sent every 100 ms to 300 machines while 600 replicas loaded, they took so much processor time
+/// that a third of the requests was served (docs/design/0016-large-fleets.md).
 const INACTIVE_VIEW_PAUSE: Millis = 2_000;
 
 /// What the leader knows of its view and of what it sent to edges.
@@ -122,8 +122,8 @@
 }
 
 /// Edges that watch the source of the view themselves while it answers the leader: edges send
-/// the leader what it lacks, so a few are enough. Three made 479 calls to the store on a quiet
-/// day in place of 838 (docs/design/0014-placement-and-sight.md).
+/// the leader what it lacks, so a few are enough. Three made 479 calls to the store in 40 s without
+/// faults where all edges made 838 (docs/design/0014-placement-and-sight.md).
 const WATCHING_EDGES: usize = 3;
 /// Edges that watch while the source does not answer the leader: one that it answers must be
 /// among them. Sixteen at all times made no difference (docs/MEASUREMENTS.md).
--- a/crates/cluster/src/storage/long_poll.rs
+++ b/crates/cluster/src/storage/long_poll.rs
@@ -13,8 +13,8 @@
 use brasspond_units::Millis;
 
 /// Time without a new result after which a poll is answered: about the pause between two events
-/// of a text, by which texts of equal length differ in their ends. With it and
-/// [`LONGEST_GATHERING`] the worth of a quiet day rose from 0.650 to 0.767
+/// of a text, by which texts of equal length differ in their ends. Answered
+/// with the first result, steps ended 0.5 to 0.9 s after their last text
 /// (docs/design/0016-large-fleets.md).
 const RESULT_PAUSE: Millis = 120;
 /// Longest time for which results are gathered where no step is waited for: half of
--- a/crates/cluster/tests/plan.rs
+++ b/crates/cluster/tests/plan.rs
@@ -132,7 +132,7 @@
 }
 
 /// Two voters are stuck for good once one is gone and another machine comes in
-/// its place (llyfr-rollout, hunt, mix seed 945730189425).
+/// its place.
 #[rstest]
 fn without_another_machine_a_retiring_voter_stays() {
     let mut case = Case::calm().retiring("c");
@@ -168,8 +168,7 @@
 }
 
 /// A machine to be emptied was let go while one of the three others was gone for
-/// good: two copies were left, and the next lost disk was the end of the group
-/// (llyfr-rollout, own day 12-32: LOST 8).
+/// good: two copies were left, and the next lost disk was the end of the group.
 #[rstest]
 fn a_dead_voter_takes_no_retiring_machines_place() {
     let mut case = Case::calm()
--- a/crates/cluster/tests/unit/pace.rs
+++ b/crates/cluster/tests/unit/pace.rs
@@ -28,8 +28,8 @@
     paces
 }
 
-/// Found on adrese-riga-large quiet-1: replicas at a quarter of their speed made
-/// one event a report, which told no pace, so their runs were never moved.
+/// Replicas at a quarter of their speed made one event a report, which gave no pace, so their runs
+/// were never moved.
 #[rstest]
 #[case::many_events_a_report(40)]
 #[case::about_two(110)]
--- a/crates/consensus/tests/backlog.rs
+++ b/crates/consensus/tests/backlog.rs
@@ -46,8 +46,8 @@
     member
 }
 
-/// adrese-riga-large trouble-2: a new leader gave itself its whole log at once, was silent
-/// for longer than an election, and the group changed leaders until 3.4 s had passed.
+/// A new leader that applied its whole log at once was silent for longer than an election, and
+/// the group changed leaders for 3.4 s.
 #[rstest]
 #[case::a_few(4 * ENTRY)]
 #[case::one_at_a_time(1)]
--- a/crates/dispatch/src/edges.rs
+++ b/crates/dispatch/src/edges.rs
@@ -61,7 +61,7 @@
 
     /// Whether no message of it arrived for long.
     pub fn is_silent(&self, now: Millis) -> bool {
-        silence::is_edge_silent(self.heard_at, now)
+        silence::misses_heartbeats(self.heard_at, now)
     }
 
     /// Before which moment of its clock a run that is ordered now must be sent; none: its clock
@@ -96,7 +96,7 @@
 
 /// What it costs, in runs, to have an edge run an item at a replica; the least is chosen.
 /// Inputs: the edge's runs, its distance from the replica, whether it must open a connection.
-fn run_cost(running: usize, distance: Distance, opens_connection: bool) -> usize {
+fn edge_cost(running: usize, distance: Distance, opens_connection: bool) -> usize {
     let crossing = match distance {
         Distance::SameZone => 0,
         Distance::SameRegion => OTHER_ZONE_COST,
@@ -112,7 +112,7 @@
 
 impl Dispatcher {
     /// The edge that runs an item at a replica: of those that may hold the item's `bodies` the
-    /// one at the least [`run_cost`]; silent ones only where all are silent. A replica that
+    /// one at the least [`edge_cost`]; silent ones only where all are silent. A replica that
     /// warms up needs an edge whose clock is known, as the run must be sent in time. None: no
     /// edge may run it now; the item waits.
     pub(crate) fn choose_edge(
@@ -132,7 +132,7 @@
         let best = able.min_by_key(|(_, edge)| {
             let distance = place.distance_to(&edge.zone, edge.region.as_deref());
             let opens_connection = !edge.has_idle_connection(replica);
-            let cost = run_cost(edge.running, distance, opens_connection);
+            let cost = edge_cost(edge.running, distance, opens_connection);
             (edge.is_silent(now), cost)
         });
         best.map(|(machine, _)| machine.clone())
--- a/crates/dispatch/src/jobs.rs
+++ b/crates/dispatch/src/jobs.rs
@@ -20,7 +20,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct JobRuns {
     jobs: BTreeMap<String, JobRun>,
-    /// Ids by age, so that the oldest job is served first.
+    /// Ids in the order in which this leader came to know the jobs, which are served in that
+    /// order; jobs that it found in the log when it began come first, by id.
     order: Vec<String>,
     /// Items whose texts wait for an order to score them, and from when it may be
     /// given.
--- a/crates/dispatch/src/load_plan.rs
+++ b/crates/dispatch/src/load_plan.rs
@@ -16,7 +16,7 @@
 const PLANNED_REPLICAS_A_MS: u64 = 16;
 /// Part of a model's replicas that load each new version while nothing waits, 0 to 1; the others
 /// skip it while they still serve, as each load costs orders and hand-overs (docs/MEASUREMENTS.md,
-/// "half of the replicas fresh, not all": 0.95 against 0.88 with all).
+/// "half of the replicas fresh, not all").
 const FRESH_SHARE: f64 = 0.5;
 
 /// A load that is due. Of one model's the least goes first: replicas too old for the newest step,
--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -22,11 +22,11 @@
 /// where all that serve the item's model first are about as much slower, or full. Not measured.
 const OTHER_MODEL_COST: f64 = 0.6;
 
-/// What it costs a run to go on at a replica; the least is chosen. Inputs: ms of an event at the
+/// What it costs to run an item at a replica, in ms an event; the least is chosen. Inputs: ms of an event at the
 /// replica's present load, none before any pace of its service is known, in which case the
 /// emptiest is the cheapest; the part of its slots that are taken; whether it serves another
 /// model first.
-fn run_cost(event_ms: Option<f64>, fill: f64, serves_other_first: bool) -> f64 {
+fn replica_cost(event_ms: Option<f64>, fill: f64, serves_other_first: bool) -> f64 {
     let cost = event_ms.unwrap_or(1.0 + fill);
     let other_model = if serves_other_first {
         OTHER_MODEL_COST
@@ -120,7 +120,7 @@
         let event_ms = self.replicas.pace_with(replica, 0);
         let first = self.orders.serves_first.get(id);
         let serves_other_first = first.is_some_and(|model| *model != need.model);
-        Some(run_cost(event_ms, replica.fill(), serves_other_first))
+        Some(replica_cost(event_ms, replica.fill(), serves_other_first))
     }
 
     fn candidate(&self, need: &Need<'_>, id: &str) -> Option<Candidate> {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The replica at which a run costs least ([`run_cost`]); none: none takes it now.
+    /// The replica at which a run costs least ([`replica_cost`]); none: none takes it now.
     pub fn choose(&mut self, need: &Need<'_>, availability: Availability<'_>) -> Option<String> {
         let known = self.queues.iter().position(|(key, _)| key.is(need));
         let number = known.unwrap_or_else(|| {
--- a/crates/dispatch/src/silence.rs
+++ b/crates/dispatch/src/silence.rs
@@ -27,8 +27,8 @@
 /// takes 1 to 7 ms (docs/design/0014-placement-and-sight.md); the rest is for a busy edge, a little
 /// more than [`EDGE_REPORT_PAUSE`]. Other figures were not measured.
 const HAND_OVER_TIMEOUT: Millis = 300;
-/// An edge is silent after this time without a message, in ms: two heartbeats are missing.
-const EDGE_SILENT_AFTER: Millis = 2 * EDGE_HEARTBEAT_PAUSE;
+/// An edge misses heartbeats after this time without a message, in ms: two are missing.
+const HEARTBEATS_MISSED_AFTER: Millis = 2 * EDGE_HEARTBEAT_PAUSE;
 /// Time without a tick after which this process was suspended, in ms: a leader ticks each
 /// 100 ms, so that three ticks are missing, and less than [`STALLED_AFTER`].
 const SUSPENDED_AFTER: Millis = 350;
@@ -61,10 +61,10 @@
     now >= since + HAND_OVER_TIMEOUT
 }
 
-/// Whether an edge is given work only where all are silent. Being silent takes nothing from it:
-/// its runs go on, and it counts as lost only once its link is.
-pub(crate) fn is_edge_silent(heard_at: Millis, now: Millis) -> bool {
-    now >= heard_at + EDGE_SILENT_AFTER
+/// Whether an edge misses heartbeats: it is given work only where all edges do. Its runs go on;
+/// when they are taken from it is decided by the process (`storage::leader_rules`).
+pub(crate) fn misses_heartbeats(heard_at: Millis, now: Millis) -> bool {
+    now >= heard_at + HEARTBEATS_MISSED_AFTER
 }
 
 /// How long this process was suspended before a tick, in ms, if it was. Messages that arrived
--- a/crates/dispatch/tests/unit/edges.rs
+++ b/crates/dispatch/tests/unit/edges.rs
@@ -1,25 +1,25 @@
-//! Which edge runs an item: [`run_cost`].
+//! Which edge runs an item: [`edge_cost`].
 
-use super::run_cost;
+use super::edge_cost;
 use brasspond_distance::Distance;
 use rstest::rstest;
 
 #[rstest]
 #[case::a_run_less(
-    run_cost(3, Distance::SameZone, false),
-    run_cost(4, Distance::SameZone, false)
+    edge_cost(3, Distance::SameZone, false),
+    edge_cost(4, Distance::SameZone, false)
 )]
 #[case::an_idle_connection_outweighs_five_runs(
-    run_cost(5, Distance::SameZone, false),
-    run_cost(0, Distance::SameZone, true)
+    edge_cost(5, Distance::SameZone, false),
+    edge_cost(0, Distance::SameZone, true)
 )]
 #[case::the_zone_outweighs_39_runs(
-    run_cost(39, Distance::SameZone, false),
-    run_cost(0, Distance::SameRegion, false)
+    edge_cost(39, Distance::SameZone, false),
+    edge_cost(0, Distance::SameRegion, false)
 )]
 #[case::the_region_outweighs_119_runs(
-    run_cost(119, Distance::SameRegion, false),
-    run_cost(0, Distance::OtherRegion, false)
+    edge_cost(119, Distance::SameRegion, false),
+    edge_cost(0, Distance::OtherRegion, false)
 )]
 fn the_first_edge_is_cheaper(#[case] first: usize, #[case] second: usize) {
     assert!(first < second, "{first} {second}");
@@ -27,12 +27,12 @@
 
 #[rstest]
 #[case::seven_runs_outweigh_a_connection(
-    run_cost(0, Distance::SameZone, true),
-    run_cost(7, Distance::SameZone, false)
+    edge_cost(0, Distance::SameZone, true),
+    edge_cost(7, Distance::SameZone, false)
 )]
 #[case::many_runs_outweigh_the_zone(
-    run_cost(0, Distance::SameRegion, false),
-    run_cost(41, Distance::SameZone, false)
+    edge_cost(0, Distance::SameRegion, false),
+    edge_cost(41, Distance::SameZone, false)
 )]
 fn a_busy_edge_is_passed_over(#[case] farther: usize, #[case] busy: usize) {
     assert!(farther < busy, "{farther} {busy}");
--- a/crates/dispatch/tests/unit/placement.rs
+++ b/crates/dispatch/tests/unit/placement.rs
@@ -1,18 +1,24 @@
-//! Which replica runs an item: [`run_cost`].
+//! Which replica runs an item: [`replica_cost`].
 
-use super::run_cost;
+use super::replica_cost;
 use rstest::rstest;
 
 #[rstest]
-#[case::the_faster(run_cost(Some(40.0), 0.9, false), run_cost(Some(41.0), 0.1, false))]
-#[case::the_emptier_before_a_pace_is_known(run_cost(None, 0.1, false), run_cost(None, 0.9, false))]
+#[case::the_faster(
+    replica_cost(Some(40.0), 0.9, false),
+    replica_cost(Some(41.0), 0.1, false)
+)]
+#[case::the_emptier_before_a_pace_is_known(
+    replica_cost(None, 0.1, false),
+    replica_cost(None, 0.9, false)
+)]
 #[case::one_of_its_model_though_slower(
-    run_cost(Some(60.0), 0.0, false),
-    run_cost(Some(40.0), 0.0, true)
+    replica_cost(Some(60.0), 0.0, false),
+    replica_cost(Some(40.0), 0.0, true)
 )]
 #[case::one_of_another_model_if_much_faster(
-    run_cost(Some(40.0), 0.0, true),
-    run_cost(Some(70.0), 0.0, false)
+    replica_cost(Some(40.0), 0.0, true),
+    replica_cost(Some(70.0), 0.0, false)
 )]
 fn the_first_replica_is_cheaper(#[case] first: f64, #[case] second: f64) {
     assert!(first < second, "{first} {second}");
--- a/crates/dispatch/tests/unit/silence.rs
+++ b/crates/dispatch/tests/unit/silence.rs
@@ -1,6 +1,6 @@
 //! What counts as silent for too long.
 
-use super::{edge_reported_since, is_edge_silent, is_hand_over_late, is_stalled, suspended_for};
+use super::{edge_reported_since, is_hand_over_late, is_stalled, misses_heartbeats, suspended_for};
 use rstest::rstest;
 
 /// When the last message on a run arrived, in ms.
@@ -37,9 +37,9 @@
 }
 
 #[rstest]
-fn an_edge_is_silent_after_two_missing_heartbeats() {
-    assert!(!is_edge_silent(HEARD_AT, HEARD_AT + 999));
-    assert!(is_edge_silent(HEARD_AT, HEARD_AT + 1_000));
+fn an_edge_misses_heartbeats_after_two_of_them() {
+    assert!(!misses_heartbeats(HEARD_AT, HEARD_AT + 999));
+    assert!(misses_heartbeats(HEARD_AT, HEARD_AT + 1_000));
 }
 
 #[rstest]
--- a/crates/jobs/src/command.rs
+++ b/crates/jobs/src/command.rs
@@ -207,13 +207,13 @@
         /// Machine of the holder.
         holder: String,
     },
-    /// Keeps the newest known configuration, for processes that start while its source is out of
-    /// reach. Its encoding is not known here.
+    /// Keeps a copy of the view (configuration, replicas, versions), for processes that start
+    /// while its source is out of reach. Its encoding is not known here.
     Remember {
-        /// Revision of the configuration; an older one changes nothing.
+        /// Revision of the view; an older one changes nothing.
         revision: u64,
-        /// The configuration, encoded.
-        configuration: Bytes,
+        /// The view, encoded.
+        view: Bytes,
     },
     /// Changes usage of tenants.
     Usage(UsageCommand),
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -1,7 +1,7 @@
 //! The table of jobs.
 //!
 //! Owns jobs with their items and results, usage of tenants, quarantined contents and the newest
-//! configuration. Only commands of the log change it, but for texts that its process moves to disk
+//! copy of the view. Only commands of the log change it, but for texts that its process moves to disk
 //! ([`crate::Away`]).
 
 use crate::command::{
@@ -42,7 +42,7 @@
 pub struct JobTable {
     /// By id.
     jobs: BTreeMap<String, Job>,
-    /// The newest configuration with its revision.
+    /// The newest copy of the view, encoded, with its revision.
     view_copy: Option<(u64, Bytes)>,
     #[serde(default)]
     usage: UsageLedger,
@@ -71,10 +71,7 @@
                     .into_iter()
                     .for_each(|change| self.quarantine.apply(change));
             }
-            Command::Remember {
-                revision,
-                configuration,
-            } => self.remember(revision, configuration),
+            Command::Remember { revision, view } => self.remember(revision, view),
         }
         None
     }
@@ -103,7 +100,7 @@
         &self.quarantine
     }
 
-    /// The newest configuration that was view_copy, with its revision.
+    /// The newest copy of the view that was kept, encoded, with its revision.
     pub fn view_copy(&self) -> Option<&(u64, Bytes)> {
         self.view_copy.as_ref()
     }
@@ -305,10 +302,10 @@
         }
     }
 
-    fn remember(&mut self, revision: u64, configuration: Bytes) {
+    fn remember(&mut self, revision: u64, view: Bytes) {
         let known = self.view_copy.as_ref().map_or(0, |(known, _)| *known);
         if revision > known {
-            self.view_copy = Some((revision, configuration));
+            self.view_copy = Some((revision, view));
         }
     }
 }
--- a/crates/jobs/tests/away.rs
+++ b/crates/jobs/tests/away.rs
@@ -120,8 +120,8 @@
     assert_eq!(table.encode().expect("encodes"), before);
 }
 
-/// Found on adrese-riga-large: a storage process of 130 MB was ended for its memory,
-/// as it held 1.3 MB of texts a second for two minutes.
+/// A storage process with a limit of 130 MB was ended for its memory: it kept 1.3 MB of texts a
+/// second for two minutes.
 #[rstest]
 fn ended_jobs_take_little_memory() {
     const JOBS: usize = 40;
--- a/crates/jobs/tests/golden.rs
+++ b/crates/jobs/tests/golden.rs
@@ -31,7 +31,7 @@
 fn entries() {
     let long = Command::Remember {
         revision: 7,
-        configuration: Bytes::from(vec![1; 4_000]),
+        view: Bytes::from(vec![1; 4_000]),
     };
     let mut commands = variants().of::<Command>();
     commands.push(long);
--- a/crates/jobs/tests/table.rs
+++ b/crates/jobs/tests/table.rs
@@ -214,11 +214,11 @@
 }
 
 #[rstest]
-fn an_older_configuration_is_not_remembered() {
+fn an_older_copy_of_the_view_is_not_kept() {
     let mut table = JobTable::default();
     let remember = |revision, text: &'static str| Command::Remember {
         revision,
-        configuration: Bytes::from_static(text.as_bytes()),
+        view: Bytes::from_static(text.as_bytes()),
     };
     table.apply(remember(5, "new"));
     table.apply(remember(4, "old"));
