--- a/standalone/control/src/control.rs
+++ b/standalone/control/src/control.rs
@@ -16,7 +16,7 @@
 use brasspond_protocol::{PeerMessage, Sender};
 use brasspond_resource::{Catalogue, Revision};
 use brasspond_routing::EngineTable;
-use brasspond_types::{Mutation, NodeName, Timestamp, WeightVersion};
+use brasspond_types::{Mutation, NodeName, Timestamp};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
@@ -142,11 +142,6 @@
         self.fleet.status()
     }
 
-    /// Newest published version of a model, as known here.
-    pub fn newest_version(&self, model: &brasspond_types::ModelName) -> WeightVersion {
-        self.versions.newest(model)
-    }
-
     /// Whether this node takes new work.
     pub fn is_ready(&self) -> bool {
         self.readiness.is_ready() && !self.draining
--- a/standalone/fairness/src/usage.rs
+++ b/standalone/fairness/src/usage.rs
@@ -28,7 +28,7 @@
     }
 
     /// Cost served to a group.
-    pub fn served(&self, group: &GroupName) -> f64 {
+    pub(crate) fn served(&self, group: &GroupName) -> f64 {
         self.served.get(group).copied().unwrap_or_default()
     }
 
--- a/standalone/membership/src/member.rs
+++ b/standalone/membership/src/member.rs
@@ -45,7 +45,7 @@
 
 impl Member {
     /// Whether new work may be given to this member.
-    pub fn takes_work(&self) -> bool {
+    pub(crate) fn takes_work(&self) -> bool {
         self.state == MemberState::Alive
     }
 
--- a/standalone/resource/src/spec.rs
+++ b/standalone/resource/src/spec.rs
@@ -259,7 +259,7 @@
 
 impl Spec {
     /// Kind of this specification.
-    pub fn kind(&self) -> Kind {
+    pub(crate) fn kind(&self) -> Kind {
         match self {
             Self::ResearchGroup(_) => Kind::ResearchGroup,
             Self::Model(_) => Kind::Model,
--- a/standalone/rollout/src/cursor.rs
+++ b/standalone/rollout/src/cursor.rs
@@ -55,7 +55,7 @@
     }
 
     /// Number of slots held.
-    pub fn held(&self) -> u32 {
+    pub(crate) fn held(&self) -> u32 {
         self.words.iter().map(|word| word.count_ones()).sum()
     }
 
--- a/standalone/rollout/src/step.rs
+++ b/standalone/rollout/src/step.rs
@@ -150,11 +150,6 @@
         &self.spec
     }
 
-    /// Slots waiting to be placed.
-    pub fn pending(&self) -> usize {
-        self.pending_count
-    }
-
     /// Prompt of a slot, as its lengths are remembered.
     pub fn digest(&self, slot: u32) -> PromptDigest {
         self.digests[self.spec.prompt_index(slot)]
@@ -177,11 +172,6 @@
         }
     }
 
-    /// Slots neither finished nor waiting.
-    pub fn active(&self) -> u32 {
-        self.active
-    }
-
     /// State of a slot.
     pub fn slot(&self, slot: u32) -> Option<&SlotState> {
         self.slots.get(slot as usize)
--- a/standalone/routing/src/health.rs
+++ b/standalone/routing/src/health.rs
@@ -25,7 +25,7 @@
 
 impl Health {
     /// Notes that the engine was first seen, or returned, at `now`.
-    pub fn start(&mut self, now: Timestamp) {
+    pub(crate) fn start(&mut self, now: Timestamp) {
         self.started = Some(now);
     }
 
--- a/standalone/standin/src/store.rs
+++ b/standalone/standin/src/store.rs
@@ -63,7 +63,7 @@
     }
 
     /// Looks at the store.
-    pub fn locked<T>(&self, look: impl FnOnce(&mut ObjectStore) -> T) -> T {
+    pub(crate) fn locked<T>(&self, look: impl FnOnce(&mut ObjectStore) -> T) -> T {
         look(&mut self.store.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
--- a/standalone/types/src/time.rs
+++ b/standalone/types/src/time.rs
@@ -27,11 +27,6 @@
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the origin.
-    pub const fn as_micros(self) -> u64 {
-        self.0
-    }
-
     /// Seconds since the origin.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
