--- a/crates/cluster/src/edge/balance.rs
+++ b/crates/cluster/src/edge/balance.rs
@@ -27,7 +27,7 @@
 /// first: a third of the slots is kept free for callers. Not measured.
 const BUSY_SHARE: f64 = 0.67;
 /// Age from which a reported load is ignored: requests end and begin in less. Not measured.
-const LOAD_TIMEOUT: Duration = Duration::from_millis(500);
+const REPORTED_LOAD_LIFE: Duration = Duration::from_millis(500);
 
 /// Requests of other edges at a replica, by its last report.
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +92,7 @@
     /// Requests that it has: of this edge, and of others by a report that is not too old.
     fn requests(&self, now: Moment) -> u32 {
         let age = now.saturating_duration_since(self.others.reported_at);
-        let others = if age < LOAD_TIMEOUT {
+        let others = if age < REPORTED_LOAD_LIFE {
             self.others.requests
         } else {
             0
--- a/crates/cluster/src/edge/fleet_view.rs
+++ b/crates/cluster/src/edge/fleet_view.rs
@@ -4,7 +4,7 @@
 //! that changes goes on to the balance, the pool and the evacuations.
 
 use super::balance::ViewChange;
-use super::process::{Edge, TICK};
+use super::process::{EDGE_TICK, Edge};
 use super::starting::FleetKnowledge;
 use crate::evacuation::Evacuations;
 use crate::platform::Interest;
@@ -114,7 +114,7 @@
 /// the time to announce it.
 fn ticks_between_checks(source_pause: Duration) -> u32 {
     let time = source_pause + LEADER_ANNOUNCE_TIME;
-    time.as_millis().div_ceil(TICK.as_millis()) as u32
+    time.as_millis().div_ceil(EDGE_TICK.as_millis()) as u32
 }
 
 /// What of the view's source a watch asks for.
--- a/crates/cluster/src/edge/process.rs
+++ b/crates/cluster/src/edge/process.rs
@@ -33,7 +33,7 @@
 /// from. Not measured.
 const EVENT_QUEUE: usize = 4_096;
 /// Pause between two ticks: reports to the leader come as often. Not measured.
-pub(super) const TICK: Duration = Duration::from_millis(250);
+pub(super) const EDGE_TICK: Duration = Duration::from_millis(250);
 /// Pause before the first tick: right after the 100 ms for which a leader may send the view to an
 /// edge that starts, before the edge watches by itself.
 const FIRST_TICK: Duration = Duration::from_millis(110);
@@ -178,7 +178,7 @@
 }
 
 fn ticks() -> Interval {
-    let mut tick = tokio::time::interval_at(Instant::now() + FIRST_TICK, TICK);
+    let mut tick = tokio::time::interval_at(Instant::now() + FIRST_TICK, EDGE_TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     tick
 }
--- a/crates/dispatch/src/withheld.rs
+++ b/crates/dispatch/src/withheld.rs
@@ -14,7 +14,7 @@
 
 /// Pause before a withheld item is run again, in ms: an item that may be run is to wait for less
 /// than 5 s between two runs, and a replica is found within the rest.
-const RETRY_PAUSE: Millis = 4_000;
+const WITHHELD_RETRY_PAUSE: Millis = 4_000;
 /// Replicas that an item may end beyond those after which its content is quarantined. Not
 /// measured: each costs a replica, and shows whether the content or chance ended the others.
 const MOST_RETRIES: usize = 3;
@@ -50,7 +50,7 @@
             return false;
         }
         item_run.state = State::Withheld;
-        job.withheld.insert(item, now + RETRY_PAUSE);
+        job.withheld.insert(item, now + WITHHELD_RETRY_PAUSE);
         log::info!(
             "event=item_withheld job={id} item={} content={content} ends={} retries={}",
             job.items[item as usize].id,
--- a/crates/soak/src/checks/cluster.rs
+++ b/crates/soak/src/checks/cluster.rs
@@ -1,6 +1,6 @@
 //! Promises on the cluster as a whole: one holder of orders, configurations, recovery.
 
-use super::{AFTERMATH, CONFIGURATION_TIME, Seen};
+use super::{AFTERMATH, CONFIGURATION_DUE_MS, Seen};
 use crate::history::{Kind, Outcome};
 use crate::schedule::{Fault, Schedule};
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     !faults.any(|fault| fault.at <= to && from <= fault.end() + AFTERMATH)
 }
 
-/// A route of a configuration is served `CONFIGURATION_TIME` after it was written, without faults.
+/// A route of a configuration is served `CONFIGURATION_DUE_MS` after it was written, without faults.
 pub(super) fn configuration_in_force(seen: &Seen, schedule: &Schedule) -> Vec<(u64, String)> {
     let mut late = Vec::new();
     for call in &seen.calls {
@@ -49,7 +49,7 @@
         let Some(written) = written else {
             continue;
         };
-        let is_due = call.sent_at >= written.at + CONFIGURATION_TIME;
+        let is_due = call.sent_at >= written.at + CONFIGURATION_DUE_MS;
         let is_served = matches!(call.outcome, Outcome::Answered { status: 200, .. });
         if is_due && !is_served && is_calm(schedule, written.at, call.ended_at) {
             let what = format!(
--- a/crates/soak/src/checks/mod.rs
+++ b/crates/soak/src/checks/mod.rs
@@ -21,13 +21,13 @@
 use serde::Serialize;
 
 /// Bound for a configuration to be in force after it was written, in ms, without faults.
-pub const CONFIGURATION_TIME: u64 = 3_000;
+pub const CONFIGURATION_DUE_MS: u64 = 3_000;
 /// Time after a fault until no effect of it is left, in ms: calls under way have ended by then. Not
 /// measured.
 const AFTERMATH: u64 = 6_000;
 /// Most replicas that may end under one content: three until it is quarantined, and three more by
 /// requests that are under way at other edges or during an election.
-const MOST_ENDS: usize = 6;
+const MOST_TOLERATED_ENDS: usize = 6;
 
 /// A promise that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -67,7 +67,7 @@
         let found = run(seen, schedule).into_iter();
         broken.extend(found.map(|(at, what)| Broken { check, at, what }));
     }
-    if seen.ends > MOST_ENDS {
+    if seen.ends > MOST_TOLERATED_ENDS {
         broken.push(Broken {
             check: "contents_are_held",
             at: schedule.length,
--- a/crates/soak/src/play/writing.rs
+++ b/crates/soak/src/play/writing.rs
@@ -1,7 +1,7 @@
 //! What the operator and the trainer write to the store during a run.
 
 use super::Run;
-use crate::checks::{CONFIGURATION_TIME, Written};
+use crate::checks::{CONFIGURATION_DUE_MS, Written};
 use crate::history::Kind;
 use brasspond_platform_standin::caller::{Caller, named_version, with_route};
 use brasspond_platform_standin::processes::configuration;
@@ -33,7 +33,7 @@
             let new_routes = Arc::clone(&self.new_routes);
             let path = format!("{prefix}x");
             tokio::spawn(async move {
-                tokio::time::sleep(Duration::from_millis(CONFIGURATION_TIME)).await;
+                tokio::time::sleep(Duration::from_millis(CONFIGURATION_DUE_MS)).await;
                 let mut caller = Caller::new(to.address);
                 let body = Bytes::from_static(b"new");
                 let asked = callers.ask(&mut caller, to, Kind::NewRoute, &path, body);
