--- a/crates/cluster-protocol/src/lib.rs
+++ b/crates/cluster-protocol/src/lib.rs
@@ -23,12 +23,19 @@
 use brasspond_jobs::{BodyError, Page, Submission};
 use brasspond_metering::{UsageReport, WindowNumber};
 use brasspond_quarantine::{CasesUpdate, EndReport, Fingerprint};
-use brasspond_units::WallMillis;
+use brasspond_units::{Millis, WallMillis};
 use brasspond_warmup::Permit;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
+/// Pause between two heartbeats of an edge to its leader ([`Message::Beat`]): three of them fit
+/// into the 1.6 s after which a leader gives up a silent edge.
+pub const EDGE_HEARTBEAT_PAUSE: Millis = 500;
+/// Pause between two reports of an edge on its runs ([`Message::Progress`]): half a heartbeat, so
+/// that a stalled run shows before its edge counts as silent (docs/CAPACITY.md, what an edge sends).
+pub const EDGE_REPORT_PAUSE: Millis = 250;
+
 /// What a process is, as it says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Peer {
--- a/crates/cluster/src/edge/leader_contact.rs
+++ b/crates/cluster/src/edge/leader_contact.rs
@@ -4,13 +4,10 @@
 //! silent and when the edge watches the view's source by itself.
 
 use crate::link::{LinkId, Writer};
-use brasspond_cluster_protocol::{Message, Watch};
+use brasspond_cluster_protocol::{EDGE_HEARTBEAT_PAUSE, Message, Watch};
 use brasspond_units::WallMillis;
 use tokio::sync::watch;
 
-/// Pause between two heartbeats to the leader, in ms: three of them fit into the 1.6 s after which
-/// a leader gives up a silent edge.
-const HEARTBEAT_PAUSE_MS: u64 = 500;
 /// Silence after which a leader counts as gone, in ms: longer than the 0.6 to 0.8 s of silence
 /// after which members elect another, shorter than the 1.5 s in which a link breaks.
 const LEADER_SILENCE_TIMEOUT_MS: u64 = 1_300;
@@ -152,7 +149,7 @@
             }
             is_silent
         });
-        if now >= self.beat_at + HEARTBEAT_PAUSE_MS
+        if now >= self.beat_at + EDGE_HEARTBEAT_PAUSE
             && let Some(leader) = self.leader()
         {
             self.beat_at = now;
--- a/crates/cluster/src/edge/process.rs
+++ b/crates/cluster/src/edge/process.rs
@@ -14,7 +14,7 @@
 use crate::settings::{EdgeSettings, ProcessSettings};
 use crate::storage::ProcessError;
 use crate::upstream::Pool;
-use brasspond_cluster_protocol::Peer;
+use brasspond_cluster_protocol::{EDGE_REPORT_PAUSE, Peer};
 use brasspond_distance::Place;
 use brasspond_metering::UsageRecorder;
 use brasspond_quarantine::Recorder;
@@ -32,8 +32,8 @@
 /// Events that wait for the event loop, of links and of runs each; more wait where they come
 /// from. Not measured.
 const EVENT_QUEUE: usize = 4_096;
-/// Pause between two ticks: reports to the leader come as often. Not measured.
-pub(super) const EDGE_TICK: Duration = Duration::from_millis(250);
+/// Pause between two ticks, with each of which runs are reported to the leader.
+pub(super) const EDGE_TICK: Duration = Duration::from_millis(EDGE_REPORT_PAUSE);
 /// Pause before the first tick: right after the 100 ms for which a leader may send the view to an
 /// edge that starts, before the edge watches by itself.
 const FIRST_TICK: Duration = Duration::from_millis(110);
--- a/crates/dispatch/src/silence.rs
+++ b/crates/dispatch/src/silence.rs
@@ -3,13 +3,9 @@
 //! Pure rules without state. Silence is counted from the last message that arrived, in ms of
 //! the leader's clock.
 
+use brasspond_cluster_protocol::{EDGE_HEARTBEAT_PAUSE, EDGE_REPORT_PAUSE};
 use brasspond_units::Millis;
 
-/// Pause between two reports of an edge on its runs, in ms (docs/CAPACITY.md, what an edge
-/// sends).
-const EDGE_REPORT_PAUSE: Millis = 250;
-/// Pause between two heartbeats of an edge, in ms (docs/CAPACITY.md, what an edge sends).
-const EDGE_HEARTBEAT_PAUSE: Millis = 500;
 /// Silence of a run after which another replica goes on with it, in ms: two reports, so that
 /// one may be late. It does not follow the replica's pace: a run whose events take longer than
 /// this is moved again and again (docs/FINDINGS.md).
