--- a/crates/brasspond/tests/ended.rs
+++ b/crates/brasspond/tests/ended.rs
@@ -142,8 +142,7 @@
     // All texts are whole.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     cluster.edges[1].kill();
-    let leader = &cluster.storage[cluster.leader()];
-    leader.await_line("event=scoring_ordered").await;
+    cluster.await_leader_line("event=scoring_ordered").await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     cluster
 }
