--- a/crates/golden/src/lib.rs
+++ b/crates/golden/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Used by tests alone. It guards what other processes, older disks and operators rely on: bytes
 //! on the wire and on disk, names of metrics and log events, decisions of the fuzzers. With
-//! `GOLDEN_WRITE=1` in the environment a test writes its file anew instead; such a change of a
+//! `GOLDEN_WRITE=1` in the environment a test writes its file instead; such a change of a
 //! file belongs into the commit that meant it, with the reason.
 #![forbid(unsafe_code)]
 
@@ -17,7 +17,7 @@
 
 use std::path::Path;
 
-/// Set in the environment to have golden files written anew.
+/// Set in the environment to have golden files written.
 const WRITE_VARIABLE: &str = "GOLDEN_WRITE";
 
 /// Compares lines of text with the golden file `file`.
@@ -42,7 +42,7 @@
     assert_eq!(counts.0, counts.1, "lines in {}", file.display());
 }
 
-/// Whether golden files are written anew.
+/// Whether golden files are written.
 pub(crate) fn is_writing() -> bool {
     std::env::var_os(WRITE_VARIABLE).is_some()
 }
